--- a/app/src/main/java/holdmux/app/Commands.java
+++ b/app/src/main/java/holdmux/app/Commands.java
@@ -8,8 +8,8 @@
 import holdmux.app.soak.FaultSoak;
 import holdmux.config.Config;
 import holdmux.config.ConfigException;
-import holdmux.core.Part;
-import holdmux.flight.FlightPart;
+import holdmux.core.Extension;
+import holdmux.flight.FlightExtension;
 import holdmux.simhost.SimHost;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -68,9 +68,9 @@
 
         @Override
         public Integer call() throws IOException {
-            List<Part> parts = new ArrayList<>();
+            List<Extension> parts = new ArrayList<>();
             if (flight != null || !flightKinds.isEmpty()) {
-                parts.add(new FlightPart(flight, flightKinds));
+                parts.add(new FlightExtension(flight, flightKinds));
             }
             if (store.isOn()) {
                 parts.add(store.part());
--- a/app/src/main/java/holdmux/app/PolicyCommands.java
+++ b/app/src/main/java/holdmux/app/PolicyCommands.java
@@ -4,12 +4,12 @@
 import holdmux.store.Entry.Activate;
 import holdmux.store.Entry.Propose;
 import holdmux.store.FleetView;
-import holdmux.store.Forms;
+import holdmux.store.ProtoMapper;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyText;
 import holdmux.store.PolicyVersion;
-import holdmux.store.TextDiff;
-import holdmux.store.Verdict;
+import holdmux.store.PolicyDiff;
+import holdmux.store.EntryResult;
 import holdmux.store.raft.Members;
 import holdmux.store.raft.StoreClient;
 import holdmux.store.wire.Answer;
@@ -67,14 +67,14 @@
 
         static PolicyHistory history(StoreClient store) throws IOException {
             Answer answer = store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance()).build());
-            return Forms.history(answer.getHistory());
+            return ProtoMapper.toHistory(answer.getHistory());
         }
 
         static PolicyVersion version(StoreClient store, long number) throws IOException {
-            return Forms.version(store.ask(Question.newBuilder().setVersion(number).build()).getVersion());
+            return ProtoMapper.toVersion(store.ask(Question.newBuilder().setVersion(number).build()).getVersion());
         }
 
-        final int told(Verdict verdict, String done) {
+        final int told(EntryResult verdict, String done) {
             out.println(verdict.accepted() ? done : "refused: " + verdict.reason());
             return verdict.accepted() ? 0 : 1;
         }
@@ -82,7 +82,7 @@
         /** Puts a version in force, giving the members a moment to check one that has just been proposed. */
         final int activate(StoreClient store, long number, Duration delay, String by)
                 throws IOException, InterruptedException {
-            Verdict verdict = store.write(new Activate(number, delay.toNanos(), by, 0));
+            EntryResult verdict = store.write(new Activate(number, delay.toNanos(), by, 0));
             for (int tries = 0; tries < CHECK_TRIES && verdict.reason().startsWith("only "); tries++) {
                 Thread.sleep(CHECK_AGAIN_MS);
                 verdict = store.write(new Activate(number, delay.toNanos(), by, 0));
@@ -125,15 +125,15 @@
 
         @Override
         int run(StoreClient store, Members members) throws IOException, InterruptedException {
-            if (Files.size(file) > 2L * PolicyVersion.MOST_BYTES) {
-                throw new ConfigException(file + " is over " + PolicyVersion.MOST_BYTES + " bytes");
+            if (Files.size(file) > 2L * PolicyVersion.MAX_BYTES) {
+                throw new ConfigException(file + " is over " + PolicyVersion.MAX_BYTES + " bytes");
             }
             String text = text(Files.readString(file));
             PolicyText.read(text); // a plain word here rather than from afar
-            long newest = history(store).newest();
+            long newest = history(store).newestNumber();
             long base = basedOn == null ? newest : basedOn;
             PolicyVersion version = PolicyVersion.of(base + 1, base, text, by.by);
-            int code = told(store.write(new Propose(version)), "version " + version.number() + " " + version.shortSum()
+            int code = told(store.write(new Propose(version)), "version " + version.number() + " " + version.shortChecksum()
                     + " is kept" + (activate ? "" : "; holdmux policy activate " + version.number() + " puts it in force"));
             return code != 0 || !activate ? code : activate(store, version.number(), delay, by.by);
         }
@@ -184,7 +184,7 @@
             if (number == null) {
                 List<PolicyHistory.Activation> all = history(store).activations();
                 if (all.size() < 2) {
-                    return told(new Verdict(false, "there was none in force before"), "");
+                    return told(new EntryResult(false, "there was none in force before"), "");
                 }
                 number = all.get(all.size() - 2).number();
             }
@@ -233,7 +233,7 @@
         @Override
         int run(StoreClient store, Members members) throws IOException {
             long other = to != null ? to : history(store).active().map(PolicyHistory.Activation::number).orElse(0L);
-            TextDiff.lines(version(store, from).text(), version(store, other).text()).forEach(out::println);
+            PolicyDiff.lines(version(store, from).text(), version(store, other).text()).forEach(out::println);
             return 0;
         }
     }
@@ -247,7 +247,7 @@
             out.println(history.active().map(a -> "in force: version " + a.number() + " "
                     + history.version(a.number()).orElseThrow().sha256().substring(0, 12) + ", activation " + a.serial()
                     + " by " + a.by()).orElse("in force: none; each pooler is closed until a version is activated")
-                    + "; newest kept: " + history.newest());
+                    + "; newest kept: " + history.newestNumber());
             List<Fleet> fleets = new ArrayList<>();
             for (String member : members.names()) {
                 try {
@@ -257,7 +257,7 @@
                     out.println("member " + member + " does not answer: poolers that ask it may be missing below");
                 }
             }
-            for (Heard heard : FleetView.merged(fleets)) {
+            for (Heard heard : FleetView.merge(fleets)) {
                 var s = heard.getStanding();
                 out.printf("%-24s version %d, activation %d, for %s, heard %s ago%s%n", s.getPooler(), s.getNumber(),
                         s.getSerial(), seconds(s.getSinceMs()), seconds(heard.getAgoMs()),
--- a/app/src/main/java/holdmux/app/StoreCommands.java
+++ b/app/src/main/java/holdmux/app/StoreCommands.java
@@ -19,12 +19,12 @@
     private StoreCommands() {}
 
     /** How each member that answers stands. */
-    private static List<StoreClient.Standing> standings(StoreClient store, boolean print) {
-        List<StoreClient.Standing> all = new ArrayList<>();
-        for (int i = 0; i < store.known().size(); i++) { // one may tell of another
-            String name = store.known().get(i);
+    private static List<StoreClient.MemberStatus> standings(StoreClient store, boolean print) {
+        List<StoreClient.MemberStatus> all = new ArrayList<>();
+        for (int i = 0; i < store.knownMembers().size(); i++) { // one may tell of another
+            String name = store.knownMembers().get(i);
             try {
-                StoreClient.Standing s = store.standing(name);
+                StoreClient.MemberStatus s = store.status(name);
                 all.add(s);
                 if (print) {
                     System.out.printf("%-12s %-21s %-9s committed up to %d%n", s.name(), s.address(), s.role(),
@@ -48,7 +48,7 @@
 
     /** Makes these the members, and tells them. */
     private static int put(StoreClient store, TreeSet<String> next) throws IOException {
-        store.change(List.copyOf(next));
+        store.changeMembers(List.copyOf(next));
         System.out.println("members: " + String.join(",", next));
         return 0;
     }
@@ -58,9 +58,9 @@
     static final class StatusCommand extends Asking {
         @Override
         int run(StoreClient store, Members members) {
-            List<StoreClient.Standing> all = standings(store, true);
+            List<StoreClient.MemberStatus> all = standings(store, true);
             List<String> voters = all.stream().filter(s -> s.role().equals("leader")).findFirst()
-                    .map(StoreClient.Standing::members).orElse(List.of());
+                    .map(StoreClient.MemberStatus::members).orElse(List.of());
             boolean led = !voters.isEmpty();
             // who was taken out may still answer
             boolean majority = led ? 2 * all.stream().filter(s -> voters.stream().anyMatch(v -> v.startsWith(s.name() + "=")))
--- a/app/src/main/java/holdmux/app/StoreFlags.java
+++ b/app/src/main/java/holdmux/app/StoreFlags.java
@@ -2,11 +2,11 @@
 
 import holdmux.config.Config;
 import holdmux.config.ConfigException;
-import holdmux.core.Part;
+import holdmux.core.Extension;
 import holdmux.store.host.StoreOptions;
-import holdmux.store.host.StorePart;
+import holdmux.store.host.StoreExtension;
 import holdmux.store.raft.Members;
-import holdmux.store.raft.Routes;
+import holdmux.store.raft.MemberRoutes;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -54,7 +54,7 @@
         return members != null;
     }
 
-    Part part() {
+    Extension part() {
         try {
             Members all = Members.parse(members);
             if (folder == null) {
@@ -63,11 +63,11 @@
             if (id != null && listen == null && all.address(id) == null) {
                 throw new ConfigException("--store-id " + id + " is none of the members; say --store-listen for one to come");
             }
-            if (bound.compareTo(StoreOptions.LEAST_BOUND) < 0) {
-                throw new ConfigException("--policy-bound is under " + StoreOptions.LEAST_BOUND.toSeconds() + "s");
+            if (bound.compareTo(StoreOptions.MIN_STALENESS_BOUND) < 0) {
+                throw new ConfigException("--policy-bound is under " + StoreOptions.MIN_STALENESS_BOUND.toSeconds() + "s");
             }
-            routes.forEach((name, address) -> Routes.set(name, Config.address(address)));
-            return new StorePart(new StoreOptions(all, id, listen, folder, first, bound));
+            routes.forEach((name, address) -> MemberRoutes.set(name, Config.address(address)));
+            return new StoreExtension(new StoreOptions(all, id, listen, folder, first, bound));
         } catch (ConfigException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
--- a/app/src/main/java/holdmux/app/demo/Demo.java
+++ b/app/src/main/java/holdmux/app/demo/Demo.java
@@ -5,7 +5,7 @@
 import holdmux.config.Config;
 import holdmux.core.Clock;
 import holdmux.core.Workers;
-import holdmux.flight.FlightPart;
+import holdmux.flight.FlightExtension;
 import holdmux.standins.StandIns;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -105,7 +105,7 @@
             }
             pooler.fronts().stopAccepting();
             return rows.values().stream().allMatch(row -> row.asked() > 0)
-                    && standIns.group().runs().entrySet().stream()
+                    && standIns.group().runCounts().entrySet().stream()
                             .noneMatch(run -> run.getKey().startsWith("w") && run.getValue() > 1) ? 0 : 1;
         }
     }
@@ -116,12 +116,12 @@
             Files.writeString(file, standIns.config(pgPort, MEMORY_MB, SOCKETS));
             Clock clock = new Clock();
             Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()), clock.now());
-            Pooler pooler = new Pooler(config, List.of(new FlightPart(new InetSocketAddress("127.0.0.1", flightPort),
+            Pooler pooler = new Pooler(config, List.of(new FlightExtension(new InetSocketAddress("127.0.0.1", flightPort),
                     Set.of(StandIns.FLIGHT_KIND))), clock);
-            pooler.begin();
+            pooler.start();
             pooler.fronts().listen();
             pooler.warmUp();
-            Workers.thread("front", () -> {
+            Workers.newThread("front", () -> {
                 try {
                     pooler.run();
                 } catch (IOException e) {
@@ -205,7 +205,7 @@
                 row.endings.get(Ending.SERVED).get(), row.endings.get(Ending.REFUSED).get(),
                 row.endings.get(Ending.FAILED).get(), row.served.getValueAtPercentile(50) / 1e3,
                 row.served.getValueAtPercentile(99) / 1e3));
-        long twice = standIns.group().runs().entrySet().stream()
+        long twice = standIns.group().runCounts().entrySet().stream()
                 .filter(run -> run.getKey().startsWith("w") && run.getValue() > 1).count();
         out.println("Writes that ran more than once: " + twice);
     }
--- a/app/src/main/java/holdmux/app/drill/PolicyDrill.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyDrill.java
@@ -4,7 +4,7 @@
 import holdmux.standins.FaultRelay.Mode;
 import holdmux.store.Entry.Propose;
 import holdmux.store.PolicyVersion;
-import holdmux.store.Verdict;
+import holdmux.store.EntryResult;
 import holdmux.store.raft.StoreClient;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -89,7 +89,7 @@
     private int judge(int rounds, long tookMs) {
         looks.forEach(audit::looked);
         broken.forEach(audit::broken);
-        fleet.standIns.group().runs().forEach((id, runs) -> {
+        fleet.standIns.group().runCounts().forEach((id, runs) -> {
             if (id.startsWith("w") && runs > 1) {
                 audit.broken("the write " + id + " ran " + runs + " times");
             }
@@ -190,8 +190,8 @@
                 change(false);
             }
             case INVALID -> {
-                long newest = fleet.history().newest();
-                Verdict verdict = fleet.store.write(new Propose(PolicyVersion.of(newest + 1, newest, "{\"settings\":{}}", "drill")));
+                long newest = fleet.history().newestNumber();
+                EntryResult verdict = fleet.store.write(new Propose(PolicyVersion.of(newest + 1, newest, "{\"settings\":{}}", "drill")));
                 if (verdict.accepted()) {
                     broken.add("an invalid version was kept");
                 }
@@ -226,7 +226,7 @@
         String last = "";
         for (long by = asked + PolicyFleet.AGREE_MS / 3; nowMs() < by; Thread.sleep(100)) {
             try {
-                Verdict verdict = fleet.activate(number, DELAY_MS);
+                EntryResult verdict = fleet.activate(number, DELAY_MS);
                 if (verdict.accepted()) {
                     audit.changed(number, asked, nowMs(), DELAY_MS);
                     return;
@@ -245,8 +245,8 @@
     }
 
     private void twoOperators() throws Exception {
-        long newest = fleet.history().newest();
-        List<Verdict> verdicts = Collections.synchronizedList(new ArrayList<>());
+        long newest = fleet.history().newestNumber();
+        List<EntryResult> verdicts = Collections.synchronizedList(new ArrayList<>());
         List<Thread> both = new ArrayList<>();
         for (String by : List.of("ana", "bob")) {
             String text = fleet.text();
@@ -261,7 +261,7 @@
         for (Thread one : both) {
             one.join();
         }
-        if (verdicts.stream().filter(Verdict::accepted).count() != 1) {
+        if (verdicts.stream().filter(EntryResult::accepted).count() != 1) {
             broken.add("of two proposals at once these were told: " + verdicts);
         }
         activate(newest + 1, true);
--- a/app/src/main/java/holdmux/app/drill/PolicyFleet.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyFleet.java
@@ -6,10 +6,10 @@
 import holdmux.standins.StandIns;
 import holdmux.store.Entry.Activate;
 import holdmux.store.Entry.Propose;
-import holdmux.store.Forms;
+import holdmux.store.ProtoMapper;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyVersion;
-import holdmux.store.Verdict;
+import holdmux.store.EntryResult;
 import holdmux.store.raft.Members;
 import holdmux.store.raft.StoreClient;
 import holdmux.store.wire.Empty;
@@ -131,13 +131,13 @@
     }
 
     PolicyHistory history() throws IOException {
-        return Forms.history(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance()).build()).getHistory());
+        return ProtoMapper.toHistory(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance()).build()).getHistory());
     }
 
     /** Keeps a new version; its number. */
     long propose() throws IOException {
-        long newest = history().newest();
-        Verdict verdict = store.write(new Propose(PolicyVersion.of(newest + 1, newest, text(), "drill")));
+        long newest = history().newestNumber();
+        EntryResult verdict = store.write(new Propose(PolicyVersion.of(newest + 1, newest, text(), "drill")));
         if (!verdict.accepted()) {
             throw new IOException(verdict.reason());
         }
@@ -145,15 +145,15 @@
     }
 
     /** Whether it is in force then, by this call or one before that nobody told the outcome of; else why not. */
-    Verdict activate(long number, long delayMs) throws IOException {
-        Verdict verdict = store.write(new Activate(number, delayMs * 1_000_000, "drill", 0));
-        return verdict.reason().endsWith("in force already") ? new Verdict(true, "") : verdict;
+    EntryResult activate(long number, long delayMs) throws IOException {
+        EntryResult verdict = store.write(new Activate(number, delayMs * 1_000_000, "drill", 0));
+        return verdict.reason().endsWith("in force already") ? new EntryResult(true, "") : verdict;
     }
 
     /** Proposes a version and puts it in force as soon as enough members have checked it. */
     public void change(long delayMs) throws IOException, InterruptedException {
         long number = propose();
-        Verdict verdict = activate(number, delayMs);
+        EntryResult verdict = activate(number, delayMs);
         for (long by = nowMs() + AGREE_MS; !verdict.accepted(); Thread.sleep(5)) {
             if (nowMs() > by) {
                 throw new IOException(verdict.reason());
@@ -192,7 +192,7 @@
         PolicyHistory history = history();
         long active = history.active().map(PolicyHistory.Activation::number).orElse(0L);
         for (String member : members.names()) {
-            PolicyHistory own = Forms.history(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance())
+            PolicyHistory own = ProtoMapper.toHistory(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance())
                     .build(), member).getHistory());
             if (!own.versions().equals(history.versions()) || !own.activations().equals(history.activations())) {
                 return "the history of " + member + " is another";
@@ -227,7 +227,7 @@
         for (long by = nowMs() + AGREE_MS; nowMs() < by; Thread.sleep(100)) {
             for (String member : members.names()) {
                 try {
-                    if (store.standing(member).role().equals("leader")) {
+                    if (store.status(member).role().equals("leader")) {
                         return "p" + member.substring(1);
                     }
                 } catch (IOException e) {
@@ -239,14 +239,14 @@
     }
 
     void waysOf(String pooler, Mode mode) {
-        ways.get(pooler).values().forEach(way -> way.set(mode));
+        ways.get(pooler).values().forEach(way -> way.setMode(mode));
     }
 
     /** Cuts these off from the members among the others, both ways. */
     void split(List<String> small) {
         ways.forEach((from, own) -> own.forEach((to, way) -> {
             boolean across = small.contains(from) != small.contains("p" + to.substring(1));
-            way.set(across ? Mode.SILENT : Mode.PASS);
+            way.setMode(across ? Mode.SILENT : Mode.PASS);
         }));
     }
 
--- a/app/src/main/java/holdmux/app/soak/FaultSoak.java
+++ b/app/src/main/java/holdmux/app/soak/FaultSoak.java
@@ -30,36 +30,36 @@
  */
 public final class FaultSoak implements AutoCloseable {
     /** What may happen; each comes at random times and lasts a random while. */
-    private enum Trouble {
+    private enum FaultType {
         DISCOVERY_SLOW, DISCOVERY_SLOW_FOR_LONG, DISCOVERY_SILENT, DISCOVERY_RESET, DISCOVERY_MOVES, SERVER_SILENT, SERVER_RESET, SERVER_SLOW,
         DRAIN, DRAIN_AGAIN, REMOVE, NEW_PRIMARY, KILL, TERM, PAUSE, HANG_UPS, SILENT_START, SILENT_WATCH, CUT_ANSWER,
         GARBLED_ANSWER, FAULTY_ENTRIES, EMPTY_CHANGES, RENUMBERED, OLDER_LIST, CROWD
     }
 
-    private static final int SERVERS = 8, LEADERS = 3, CLIENTS = 3, MEMORY_MB = 192, SOCKETS = 1_024;
-    private static final int PAUSE_MS = 100, LONGEST_GAP_MS = 400, SLOWEST_WAY_MS = 1_200, LONG_MS = 8_000, MOST_STOPPED = 3, MOST_CUT = 2;
+    private static final int SERVERS = 8, PRIMARY_CANDIDATES = 3, CLIENTS = 3, MEMORY_MB = 192, SOCKETS = 1_024;
+    private static final int PAUSE_MS = 100, MAX_GAP_MS = 400, MAX_ONE_WAY_DELAY_MS = 1_200, LONG_DELAY_MS = 8_000, MAX_OUT_OF_SERVICE = 3, MAX_FAULTY_SERVERS = 2;
     /** SIGKILL comes as early as this after SIGTERM, for the longest deadline there is. */
     private static final long KILL_AFTER_MS = 3_700;
-    private static final List<String> CLEAN = List.of("violations_unpermitted", "violations_drain", "violations_client_gone",
+    private static final List<String> ZERO_COUNTERS = List.of("violations_unpermitted", "violations_drain", "violations_client_gone",
             "violations_repeat", "violations_no_answer", "gate_disagreements", "internal_errors", "thread_restarts");
-    private static final int MOST_HANG_UPS = 3, HANG_UP_GAP_MS = 400, CROWD = 500;
+    private static final int MAX_EXTRA_RELOADS = 3, MAX_RELOAD_GAP_MS = 400, IDLE_CLIENTS = 500;
     /** A stop lasts at least so long: it is told, binds, and is then looked at for some seconds. */
-    private static final long STOP_MS = 6_000;
-    private static final long MS = 1_000_000L;
+    private static final long MIN_OUT_OF_SERVICE_MS = 6_000;
+    private static final long NANOS_PER_MS = 1_000_000L;
 
     private final PrintStream out;
     private final Path folder = Files.createTempDirectory("holdmux-soak");
     private final StandIns standIns = new StandIns();
-    private final Map<String, FaultRelay> servers = new LinkedHashMap<>();
+    private final Map<String, FaultRelay> serverRelays = new LinkedHashMap<>();
     private final List<SoakPooler> poolers = new ArrayList<>();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final SoakAudit audit = new SoakAudit();
-    private final AtomicBoolean over = new AtomicBoolean();
-    private final Map<Trouble, Integer> done = new LinkedHashMap<>();
+    private final AtomicBoolean finished = new AtomicBoolean();
+    private final Map<FaultType, Integer> faultCounts = new LinkedHashMap<>();
     /** Under this object's monitor: who is stopped since when, and which poolers and servers have a trouble now. */
-    private final Map<String, Long> stoppedSince = new HashMap<>();
-    private final List<Object> busy = new ArrayList<>();
-    private String leader = "s-1";
+    private final Map<String, Long> outOfServiceSince = new HashMap<>();
+    private final List<Object> faultTargets = new ArrayList<>();
+    private String primary = "s-1";
 
     public FaultSoak(PrintStream out) throws IOException {
         this.out = out;
@@ -72,64 +72,64 @@
      * @return what broke a rule, in words
      */
     public List<String> run(int poolerCount, int seconds, long seed, boolean shim) throws Exception {
-        begin(poolerCount, seed, shim ? compileShim() : null);
+        startDeployment(poolerCount, seed, shim ? compileShim() : null);
         SplittableRandom random = new SplittableRandom(seed);
         List<Future<?>> clients = new ArrayList<>();
         for (SoakPooler pooler : poolers) {
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(threads.submit(new SoakClient(pooler, i, group(), audit, random.nextLong(), over::get)));
+                clients.add(threads.submit(new SoakClient(pooler, i, group(), audit, random.nextLong(), finished::get)));
             }
         }
-        List<Future<?>> troubles = new ArrayList<>();
-        long end = System.nanoTime() + seconds * 1_000 * MS;
-        while (System.nanoTime() < end) {
-            Trouble trouble = Trouble.values()[random.nextInt(Trouble.values().length)];
-            long lasts = 300 + random.nextInt(4_000);
-            long draw = random.nextLong();
-            troubles.add(threads.submit(happen(trouble, lasts, new SplittableRandom(draw))));
-            Thread.sleep(random.nextInt(LONGEST_GAP_MS));
+        List<Future<?>> faults = new ArrayList<>();
+        long endNs = System.nanoTime() + seconds * 1_000 * NANOS_PER_MS;
+        while (System.nanoTime() < endNs) {
+            FaultType fault = FaultType.values()[random.nextInt(FaultType.values().length)];
+            long durationMs = 300 + random.nextInt(4_000);
+            long faultSeed = random.nextLong();
+            faults.add(threads.submit(faultTask(fault, durationMs, new SplittableRandom(faultSeed))));
+            Thread.sleep(random.nextInt(MAX_GAP_MS));
         }
-        await(troubles);
-        endStops();
-        over.set(true);
-        await(clients);
+        awaitAll(faults);
+        returnAllToService();
+        finished.set(true);
+        awaitAll(clients);
         checkPoolers();
-        List<String> broken = audit.verdict(group().arrivals(), group().runs());
+        List<String> violations = audit.verdict(group().arrivals(), group().runCounts());
         out.println("seed " + seed + ": " + poolers.size() + " poolers, " + audit.requests() + " requests, "
-                + group().arrivals().size() + " sends, " + done + ", " + (broken.isEmpty() ? "no rule broken" : "BROKEN"));
-        broken.stream().limit(20).forEach(words -> out.println("  " + words));
-        return broken;
+                + group().arrivals().size() + " sends, " + faultCounts + ", " + (violations.isEmpty() ? "no rule broken" : "BROKEN"));
+        violations.stream().limit(20).forEach(violation -> out.println("  " + violation));
+        return violations;
     }
 
     private QuoteGroup group() {
         return standIns.group();
     }
 
-    private void begin(int poolerCount, long seed, Path shim) throws Exception {
+    private void startDeployment(int poolerCount, long seed, Path shim) throws Exception {
         for (int i = 1; i <= SERVERS; i++) {
             String server = "s-" + i;
             standIns.start(server, StandIns.PG_KIND);
-            group().lag(server, i <= LEADERS ? 0 : 20L * i); // a position never goes back: fixed, and none for who may lead
-            FaultRelay way = new FaultRelay(standIns.address(server));
-            servers.put(server, way);
-            standIns.redirect(server, way.address());
+            group().setLag(server, i <= PRIMARY_CANDIDATES ? 0 : 20L * i); // a position never goes back: fixed, and none for who may lead
+            FaultRelay relay = new FaultRelay(standIns.address(server));
+            serverRelays.put(server, relay);
+            standIns.setAddress(server, relay.address());
         }
         List<Future<?>> starts = new ArrayList<>();
         for (int i = 0; i < poolerCount; i++) {
             int port = StandIns.freePort();
             JSONObject config = new JSONObject(standIns.config(port, MEMORY_MB, SOCKETS));
-            SoakPooler pooler = new SoakPooler("p" + i, port, folder, config.toString(), standIns.anotherAgent());
+            SoakPooler pooler = new SoakPooler("p" + i, port, folder, config.toString(), standIns.addAgent());
             if (shim != null) {
                 pooler.process().environment("LD_PRELOAD", shim.toString());
                 pooler.process().environment("SYSCALL_FAULTS_SEED", Long.toString(seed * poolerCount + i));
             }
             poolers.add(pooler);
-            starts.add(threads.submit(started(pooler)));
+            starts.add(threads.submit(startTask(pooler)));
         }
-        await(starts);
+        awaitAll(starts);
     }
 
-    private static Callable<Void> started(SoakPooler pooler) {
+    private static Callable<Void> startTask(SoakPooler pooler) {
         return () -> {
             pooler.start();
             return null;
@@ -150,93 +150,93 @@
         return library;
     }
 
-    private static void await(List<Future<?>> all) throws Exception {
-        for (Future<?> one : all) {
-            one.get(120, TimeUnit.SECONDS);
+    private static void awaitAll(List<Future<?>> tasks) throws Exception {
+        for (Future<?> task : tasks) {
+            task.get(120, TimeUnit.SECONDS);
         }
     }
 
-    private Callable<Void> happen(Trouble trouble, long lastsMs, SplittableRandom random) {
+    private Callable<Void> faultTask(FaultType fault, long durationMs, SplittableRandom random) {
         return () -> {
             SoakPooler pooler = poolers.get(random.nextInt(poolers.size()));
             String server = "s-" + (1 + random.nextInt(SERVERS));
-            switch (trouble) {
-                case DISCOVERY_SLOW -> alone(pooler.agent(), trouble, () -> slow(pooler, random.nextInt(SLOWEST_WAY_MS), lastsMs));
-                case DISCOVERY_SLOW_FOR_LONG -> alone(pooler.agent(), trouble, () -> {
-                    Future<Void> drain = threads.submit(happen(Trouble.DRAIN, lastsMs + LONG_MS / 2, random.split()));
-                    slow(pooler, SLOWEST_WAY_MS / 2 + random.nextInt(SLOWEST_WAY_MS / 2), LONG_MS + lastsMs);
+            switch (fault) {
+                case DISCOVERY_SLOW -> runExclusively(pooler.agent(), fault, () -> delayDiscovery(pooler, random.nextInt(MAX_ONE_WAY_DELAY_MS), durationMs));
+                case DISCOVERY_SLOW_FOR_LONG -> runExclusively(pooler.agent(), fault, () -> {
+                    Future<Void> drain = threads.submit(faultTask(FaultType.DRAIN, durationMs + LONG_DELAY_MS / 2, random.split()));
+                    delayDiscovery(pooler, MAX_ONE_WAY_DELAY_MS / 2 + random.nextInt(MAX_ONE_WAY_DELAY_MS / 2), LONG_DELAY_MS + durationMs);
                     drain.get();
                 });
-                case DISCOVERY_SILENT -> alone(pooler.agent(), trouble, () -> deaf(pooler, FaultRelay.Mode.SILENT, lastsMs));
-                case DISCOVERY_RESET -> alone(pooler.agent(), trouble, () -> deaf(pooler, FaultRelay.Mode.RESET, lastsMs));
-                case DISCOVERY_MOVES -> alone(pooler.agent(), trouble, () -> move(pooler, 1, random));
-                case SERVER_SILENT -> alone(server, trouble, () -> cut(server, FaultRelay.Mode.SILENT, lastsMs));
-                case SERVER_RESET -> alone(server, trouble, () -> cut(server, FaultRelay.Mode.RESET, lastsMs));
-                case SERVER_SLOW -> alone(server, trouble, () -> cut(server, FaultRelay.Mode.SLOW, lastsMs));
-                case DRAIN, DRAIN_AGAIN -> stop(server, "draining", trouble, lastsMs);
-                case REMOVE -> stop(server, "removed", trouble, lastsMs);
-                case NEW_PRIMARY -> lead(trouble, "s-" + (1 + random.nextInt(LEADERS)));
-                case KILL -> alone(pooler, trouble, () -> restart(pooler, true));
-                case TERM -> alone(pooler, trouble, () -> restart(pooler, false));
-                case PAUSE -> alone(pooler, trouble, () -> pause(pooler));
-                case HANG_UPS -> alone(pooler.agent(), trouble, () -> move(pooler, 2 + random.nextInt(MOST_HANG_UPS), random));
-                case SILENT_START -> alone(pooler, trouble, () -> startBehindSilence(pooler, lastsMs));
-                case SILENT_WATCH -> alone(pooler.agent(), trouble, pooler.agent()::silenceOpenCalls);
-                case CUT_ANSWER -> alone(pooler.agent(), trouble, () -> pooler.agent().cutNext(1));
-                case GARBLED_ANSWER -> alone(pooler.agent(), trouble, () -> pooler.agent().garbleNext(1));
-                case FAULTY_ENTRIES -> alone(pooler.agent(), trouble, () -> fault(pooler, faultyEntry(random), lastsMs));
-                case EMPTY_CHANGES -> alone(pooler.agent(), trouble, () -> fault(pooler, DiscoveryFault.EMPTY_CHANGES, lastsMs));
-                case RENUMBERED -> alone(pooler.agent(), trouble, () -> fault(pooler, DiscoveryFault.RENUMBERED, lastsMs));
-                case OLDER_LIST -> alone(pooler, trouble, () -> alone(pooler.agent(), trouble, () -> olderList(pooler, lastsMs)));
-                case CROWD -> alone(pooler, trouble, () -> crowd(pooler, lastsMs));
+                case DISCOVERY_SILENT -> runExclusively(pooler.agent(), fault, () -> interruptDiscovery(pooler, FaultRelay.Mode.SILENT, durationMs));
+                case DISCOVERY_RESET -> runExclusively(pooler.agent(), fault, () -> interruptDiscovery(pooler, FaultRelay.Mode.RESET, durationMs));
+                case DISCOVERY_MOVES -> runExclusively(pooler.agent(), fault, () -> moveDiscovery(pooler, 1, random));
+                case SERVER_SILENT -> runExclusively(server, fault, () -> interruptServer(server, FaultRelay.Mode.SILENT, durationMs));
+                case SERVER_RESET -> runExclusively(server, fault, () -> interruptServer(server, FaultRelay.Mode.RESET, durationMs));
+                case SERVER_SLOW -> runExclusively(server, fault, () -> interruptServer(server, FaultRelay.Mode.SLOW, durationMs));
+                case DRAIN, DRAIN_AGAIN -> takeOutOfService(server, "draining", fault, durationMs);
+                case REMOVE -> takeOutOfService(server, "removed", fault, durationMs);
+                case NEW_PRIMARY -> promote(fault, "s-" + (1 + random.nextInt(PRIMARY_CANDIDATES)));
+                case KILL -> runExclusively(pooler, fault, () -> restart(pooler, true));
+                case TERM -> runExclusively(pooler, fault, () -> restart(pooler, false));
+                case PAUSE -> runExclusively(pooler, fault, () -> pause(pooler));
+                case HANG_UPS -> runExclusively(pooler.agent(), fault, () -> moveDiscovery(pooler, 2 + random.nextInt(MAX_EXTRA_RELOADS), random));
+                case SILENT_START -> runExclusively(pooler, fault, () -> restartDuringSilence(pooler, durationMs));
+                case SILENT_WATCH -> runExclusively(pooler.agent(), fault, pooler.agent()::leaveOpenCallsUnanswered);
+                case CUT_ANSWER -> runExclusively(pooler.agent(), fault, () -> pooler.agent().truncateNextAnswers(1));
+                case GARBLED_ANSWER -> runExclusively(pooler.agent(), fault, () -> pooler.agent().garbleNextAnswers(1));
+                case FAULTY_ENTRIES -> runExclusively(pooler.agent(), fault, () -> injectIntoAgent(pooler, faultyEntry(random), durationMs));
+                case EMPTY_CHANGES -> runExclusively(pooler.agent(), fault, () -> injectIntoAgent(pooler, DiscoveryFault.EMPTY_CHANGES, durationMs));
+                case RENUMBERED -> runExclusively(pooler.agent(), fault, () -> injectIntoAgent(pooler, DiscoveryFault.RENUMBERED, durationMs));
+                case OLDER_LIST -> runExclusively(pooler, fault, () -> runExclusively(pooler.agent(), fault, () -> serveOlderList(pooler, durationMs)));
+                case CROWD -> runExclusively(pooler, fault, () -> connectIdleClients(pooler, durationMs));
             }
             return null;
         };
     }
 
-    private interface Step {
+    private interface FaultAction {
         void run() throws Exception;
     }
 
     /** Does this to one that has no other trouble of its kind now. */
-    private void alone(Object whom, Trouble trouble, Step step) throws Exception {
+    private void runExclusively(Object target, FaultType fault, FaultAction action) throws Exception {
         synchronized (this) {
-            if (busy.contains(whom) || whom instanceof String && cuts() >= MOST_CUT) {
+            if (faultTargets.contains(target) || target instanceof String && faultyServers() >= MAX_FAULTY_SERVERS) {
                 return;
             }
-            busy.add(whom);
-            done.merge(trouble, 1, Integer::sum);
+            faultTargets.add(target);
+            faultCounts.merge(fault, 1, Integer::sum);
         }
         try {
-            step.run();
+            action.run();
         } finally {
             synchronized (this) {
-                busy.remove(whom);
+                faultTargets.remove(target);
             }
         }
     }
 
-    private long cuts() {
-        return busy.stream().filter(String.class::isInstance).count();
+    private long faultyServers() {
+        return faultTargets.stream().filter(String.class::isInstance).count();
     }
 
-    private void deaf(SoakPooler pooler, FaultRelay.Mode mode, long lastsMs) throws InterruptedException {
-        FaultRelay way = pooler.discovery();
-        long from = System.nanoTime();
-        way.set(mode);
-        Thread.sleep(lastsMs);
-        way.set(FaultRelay.Mode.PASS);
-        audit.told().silent(pooler.name, from, System.nanoTime());
+    private void interruptDiscovery(SoakPooler pooler, FaultRelay.Mode mode, long durationMs) throws InterruptedException {
+        FaultRelay relay = pooler.discoveryRelay();
+        long startNs = System.nanoTime();
+        relay.setMode(mode);
+        Thread.sleep(durationMs);
+        relay.setMode(FaultRelay.Mode.PASS);
+        audit.deliveryTimes().addSilence(pooler.name, startNs, System.nanoTime());
     }
 
     /** What comes late from the agent counts as told once it could arrive. */
-    private void slow(SoakPooler pooler, int eachWayMs, long lastsMs) throws InterruptedException {
-        FaultRelay way = pooler.discovery();
-        long from = System.nanoTime();
-        way.slow(eachWayMs);
-        Thread.sleep(lastsMs);
-        way.set(FaultRelay.Mode.PASS);
-        audit.told().slow(pooler.name, from, System.nanoTime(), eachWayMs * MS);
+    private void delayDiscovery(SoakPooler pooler, int oneWayMs, long durationMs) throws InterruptedException {
+        FaultRelay relay = pooler.discoveryRelay();
+        long startNs = System.nanoTime();
+        relay.setDelay(oneWayMs);
+        Thread.sleep(durationMs);
+        relay.setMode(FaultRelay.Mode.PASS);
+        audit.deliveryTimes().addDelay(pooler.name, startNs, System.nanoTime(), oneWayMs * NANOS_PER_MS);
     }
 
     private static DiscoveryFault faultyEntry(SplittableRandom random) {
@@ -244,57 +244,57 @@
                 DiscoveryFault.ENTRY_WITHOUT_NAME).get(random.nextInt(3));
     }
 
-    private static void fault(SoakPooler pooler, DiscoveryFault fault, long lastsMs) throws InterruptedException {
-        pooler.agent().begin(fault);
-        Thread.sleep(lastsMs);
-        pooler.agent().end(fault);
+    private static void injectIntoAgent(SoakPooler pooler, DiscoveryFault fault, long durationMs) throws InterruptedException {
+        pooler.agent().inject(fault);
+        Thread.sleep(durationMs);
+        pooler.agent().clear(fault);
     }
 
     /** An agent that tells an older list has nothing newer to tell meanwhile. */
-    private void olderList(SoakPooler pooler, long lastsMs) throws InterruptedException {
-        long from = System.nanoTime();
-        fault(pooler, DiscoveryFault.OLDER_LIST, lastsMs);
-        audit.told().silent(pooler.name, from, System.nanoTime());
+    private void serveOlderList(SoakPooler pooler, long durationMs) throws InterruptedException {
+        long startNs = System.nanoTime();
+        injectIntoAgent(pooler, DiscoveryFault.OLDER_LIST, durationMs);
+        audit.deliveryTimes().addSilence(pooler.name, startNs, System.nanoTime());
     }
 
     /** New configurations in a row, each with the other way to discovery. */
-    private void move(SoakPooler pooler, int times, SplittableRandom random) throws Exception {
+    private void moveDiscovery(SoakPooler pooler, int times, SplittableRandom random) throws Exception {
         for (int i = 1; i < times; i++) {
-            audit.told().hungUp(pooler.name, System.nanoTime());
-            pooler.hangUp();
-            Thread.sleep(random.nextInt(HANG_UP_GAP_MS));
+            audit.deliveryTimes().addReload(pooler.name, System.nanoTime());
+            pooler.reloadWithOtherRelay();
+            Thread.sleep(random.nextInt(MAX_RELOAD_GAP_MS));
         }
-        audit.told().hungUp(pooler.name, System.nanoTime());
+        audit.deliveryTimes().addReload(pooler.name, System.nanoTime());
         pooler.moveDiscovery();
     }
 
     /** A restart while the agent, which has all that was told before, does not answer. */
-    private void startBehindSilence(SoakPooler pooler, long lastsMs) throws Exception {
-        long from = System.nanoTime();
-        pooler.agent().begin(DiscoveryFault.SILENT_CALLS);
+    private void restartDuringSilence(SoakPooler pooler, long durationMs) throws Exception {
+        long startNs = System.nanoTime();
+        pooler.agent().inject(DiscoveryFault.SILENT_CALLS);
         Future<Void> restart = threads.submit(() -> {
             restart(pooler, true);
             return null;
         });
-        Thread.sleep(lastsMs);
-        pooler.agent().end(DiscoveryFault.SILENT_CALLS);
-        audit.told().silent(pooler.name, from, System.nanoTime());
+        Thread.sleep(durationMs);
+        pooler.agent().clear(DiscoveryFault.SILENT_CALLS);
+        audit.deliveryTimes().addSilence(pooler.name, startNs, System.nanoTime());
         restart.get();
     }
 
     /** Clients that connect and say nothing, as many as fill the pooler's share of descriptors. */
-    private static void crowd(SoakPooler pooler, long lastsMs) throws InterruptedException {
-        List<PgClient> crowd = new ArrayList<>();
+    private static void connectIdleClients(SoakPooler pooler, long durationMs) throws InterruptedException {
+        List<PgClient> clients = new ArrayList<>();
         pooler.crowded(true);
         try {
-            for (int i = 0; i < CROWD; i++) {
-                crowd.add(pooler.process().talk());
+            for (int i = 0; i < IDLE_CLIENTS; i++) {
+                clients.add(pooler.process().talk());
             }
         } catch (IOException e) {
             // turned away: it is full
         }
-        Thread.sleep(lastsMs);
-        for (PgClient client : crowd) {
+        Thread.sleep(durationMs);
+        for (PgClient client : clients) {
             try {
                 client.close();
             } catch (IOException e) {
@@ -304,57 +304,57 @@
         pooler.crowded(false);
     }
 
-    private void cut(String server, FaultRelay.Mode mode, long lastsMs) throws InterruptedException {
-        servers.get(server).set(mode);
-        Thread.sleep(lastsMs);
-        servers.get(server).set(FaultRelay.Mode.PASS);
+    private void interruptServer(String server, FaultRelay.Mode mode, long durationMs) throws InterruptedException {
+        serverRelays.get(server).setMode(mode);
+        Thread.sleep(durationMs);
+        serverRelays.get(server).setMode(FaultRelay.Mode.PASS);
     }
 
     /** Has discovery tell that a server drains or is gone, for long enough to see whether that is kept. */
-    private void stop(String server, String health, Trouble trouble, long moreMs) throws InterruptedException {
+    private void takeOutOfService(String server, String health, FaultType fault, long extraMs) throws InterruptedException {
         synchronized (this) {
-            if (over.get() || stoppedSince.containsKey(server) || stoppedSince.size() >= MOST_STOPPED
-                    || server.equals(leader)) {
+            if (finished.get() || outOfServiceSince.containsKey(server) || outOfServiceSince.size() >= MAX_OUT_OF_SERVICE
+                    || server.equals(primary)) {
                 return;
             }
-            stoppedSince.put(server, System.nanoTime());
-            done.merge(trouble, 1, Integer::sum);
-            standIns.list(server, health);
+            outOfServiceSince.put(server, System.nanoTime());
+            faultCounts.merge(fault, 1, Integer::sum);
+            standIns.setHealth(server, health);
         }
-        Thread.sleep(STOP_MS + moreMs);
-        end(server);
+        Thread.sleep(MIN_OUT_OF_SERVICE_MS + extraMs);
+        returnToService(server);
     }
 
-    private synchronized void end(String server) {
-        Long from = stoppedSince.remove(server);
-        if (from != null) {
-            audit.stopped(server, from, System.nanoTime());
-            standIns.list(server, "up");
+    private synchronized void returnToService(String server) {
+        Long sinceNs = outOfServiceSince.remove(server);
+        if (sinceNs != null) {
+            audit.addOutOfService(server, sinceNs, System.nanoTime());
+            standIns.setHealth(server, "up");
         }
     }
 
-    private synchronized void endStops() {
-        List.copyOf(stoppedSince.keySet()).forEach(this::end);
+    private synchronized void returnAllToService() {
+        List.copyOf(outOfServiceSince.keySet()).forEach(this::returnToService);
     }
 
-    private synchronized void lead(Trouble trouble, String server) {
-        if (!stoppedSince.containsKey(server) && !server.equals(leader)) {
-            done.merge(trouble, 1, Integer::sum);
-            String before = leader;
-            leader = server;
-            group().lead(server);
-            standIns.list(server, "up");
-            standIns.list(before, "up");
+    private synchronized void promote(FaultType fault, String server) {
+        if (!outOfServiceSince.containsKey(server) && !server.equals(primary)) {
+            faultCounts.merge(fault, 1, Integer::sum);
+            String previous = primary;
+            primary = server;
+            group().promote(server);
+            standIns.setHealth(server, "up");
+            standIns.setHealth(previous, "up");
         }
     }
 
     private void restart(SoakPooler pooler, boolean kill) throws Exception {
         if (kill) {
             pooler.kill();
-        } else if (!pooler.end(KILL_AFTER_MS)) {
+        } else if (!pooler.terminate(KILL_AFTER_MS)) {
             audit.broken("end: " + pooler.name + " did not end by itself within " + KILL_AFTER_MS + " ms");
         }
-        audit.told().started(pooler.name, System.nanoTime());
+        audit.deliveryTimes().addStart(pooler.name, System.nanoTime());
         pooler.start();
     }
 
@@ -372,7 +372,7 @@
                 continue;
             }
             Map<String, String> counters = pooler.counters();
-            CLEAN.stream().filter(name -> !"0".equals(counters.get(name)))
+            ZERO_COUNTERS.stream().filter(name -> !"0".equals(counters.get(name)))
                     .forEach(name -> audit.broken(pooler.name + ": " + name + "=" + counters.get(name)));
             pooler.process().log().lines().filter(line -> line.contains("rule broken"))
                     .forEach(line -> audit.broken(pooler.name + ": " + line));
@@ -381,13 +381,13 @@
 
     @Override
     public void close() throws Exception {
-        over.set(true);
+        finished.set(true);
         threads.shutdownNow();
         for (SoakPooler pooler : poolers) {
             pooler.close();
         }
-        for (FaultRelay way : servers.values()) {
-            way.close();
+        for (FaultRelay relay : serverRelays.values()) {
+            relay.close();
         }
         standIns.close();
     }
--- a/app/src/main/java/holdmux/app/soak/SoakAudit.java
+++ b/app/src/main/java/holdmux/app/soak/SoakAudit.java
@@ -12,35 +12,35 @@
  * the clients were told. No clock and no I/O: all times are {@link System#nanoTime} of the driver.
  */
 final class SoakAudit {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
     /** A drain binds this long after it was told. */
-    static final long GRACE_NS = 2_000 * MS;
+    static final long DRAIN_GRACE_NS = 2_000 * NANOS_PER_MS;
     /** Between a write of a pooler and its arrival: a slow way (120 ms), a process stopped for 100 ms, and the stand-in's thread. */
-    static final long ON_ITS_WAY_NS = 250 * MS;
+    static final long IN_FLIGHT_NS = 250 * NANOS_PER_MS;
     /** An answer later than this past its time is none; a client that left may cause attempts for so long. */
-    private static final long LATE_NS = 550 * MS, GONE_NS = 100 * MS;
+    private static final long ANSWER_SLACK_NS = 550 * NANOS_PER_MS, CLIENT_GONE_SLACK_NS = 100 * NANOS_PER_MS;
     /** The deadline passed on may be longer than what is left by so much. */
-    private static final long DEADLINE_SLACK_NS = 150 * MS;
+    private static final long DEADLINE_SLACK_NS = 150 * NANOS_PER_MS;
 
     /** A server takes nothing new between these moments. */
-    private record Stop(String server, long from, long until) {}
+    private record OutOfService(String server, long from, long until) {}
 
     /** One request of a client; {@code leftAt} is 0 where the client stayed, {@code excused} where its pooler was killed. */
     record Asked(String id, String pooler, boolean onceOnly, long sentAt, long waitNs, long answeredAt, long leftAt,
             boolean excused) {}
 
-    private final List<Stop> stops = new ArrayList<>();
-    private final ToldTimes told = new ToldTimes();
+    private final List<OutOfService> outOfService = new ArrayList<>();
+    private final DeliveryTimes deliveryTimes = new DeliveryTimes();
     private final List<Asked> asked = Collections.synchronizedList(new ArrayList<>());
     private final List<String> broken = Collections.synchronizedList(new ArrayList<>());
 
-    void stopped(String server, long from, long until) {
-        stops.add(new Stop(server, from, until));
+    void addOutOfService(String server, long from, long until) {
+        outOfService.add(new OutOfService(server, from, until));
     }
 
     /** What was done by which changes count as told. */
-    ToldTimes told() {
-        return told;
+    DeliveryTimes deliveryTimes() {
+        return deliveryTimes;
     }
 
     void asked(Asked request) {
@@ -48,8 +48,8 @@
     }
 
     /** Something that was seen to break a rule by itself. */
-    void broken(String words) {
-        broken.add(words);
+    void broken(String violation) {
+        broken.add(violation);
     }
 
     int requests() {
@@ -58,48 +58,48 @@
 
     /** All that broke a rule, in words. */
     List<String> verdict(List<Arrival> arrivals, Map<String, Integer> runs) {
-        List<String> all = new ArrayList<>(broken);
+        List<String> violations = new ArrayList<>(broken);
         Map<String, Asked> byId = new HashMap<>();
         asked.forEach(request -> byId.put(request.id(), request));
         for (Arrival arrival : arrivals) {
             Asked request = byId.get(arrival.id());
             if (request != null) {
-                judge(arrival, request, all);
+                check(arrival, request, violations);
             }
         }
-        asked.forEach(request -> judge(request, runs, all));
-        return all;
+        asked.forEach(request -> check(request, runs, violations));
+        return violations;
     }
 
-    private void judge(Arrival arrival, Asked request, List<String> all) {
-        for (Stop stop : stops) {
-            long toldAt = told.toldAt(stop.from(), request.pooler(), arrival.atNs());
-            boolean after = arrival.atNs() > toldAt + GRACE_NS + ON_ITS_WAY_NS;
-            if (stop.server().equals(arrival.server()) && after && arrival.atNs() < stop.until()) {
-                all.add("drain: " + arrival + ", stopped " + (arrival.atNs() - stop.from()) / MS + " ms ago, told "
-                        + (arrival.atNs() - toldAt) / MS + " ms ago");
+    private void check(Arrival arrival, Asked request, List<String> violations) {
+        for (OutOfService period : outOfService) {
+            long deliveredAt = deliveryTimes.deliveredAt(period.from(), request.pooler(), arrival.atNs());
+            boolean pastGrace = arrival.atNs() > deliveredAt + DRAIN_GRACE_NS + IN_FLIGHT_NS;
+            if (period.server().equals(arrival.server()) && pastGrace && arrival.atNs() < period.until()) {
+                violations.add("drain: " + arrival + ", stopped " + (arrival.atNs() - period.from()) / NANOS_PER_MS + " ms ago, told "
+                        + (arrival.atNs() - deliveredAt) / NANOS_PER_MS + " ms ago");
             }
         }
-        if (request.leftAt() > 0 && arrival.atNs() > request.leftAt() + GONE_NS + ON_ITS_WAY_NS) {
-            all.add("client gone: " + arrival + ", " + (arrival.atNs() - request.leftAt()) / MS + " ms ago");
+        if (request.leftAt() > 0 && arrival.atNs() > request.leftAt() + CLIENT_GONE_SLACK_NS + IN_FLIGHT_NS) {
+            violations.add("client gone: " + arrival + ", " + (arrival.atNs() - request.leftAt()) / NANOS_PER_MS + " ms ago");
         }
-        long left = request.waitNs() - (arrival.atNs() - request.sentAt());
-        if (arrival.waitMs() * MS > left + DEADLINE_SLACK_NS + ON_ITS_WAY_NS) {
-            all.add("deadline: " + arrival + " with " + left / MS + " ms left");
+        long remainingNs = request.waitNs() - (arrival.atNs() - request.sentAt());
+        if (arrival.waitMs() * NANOS_PER_MS > remainingNs + DEADLINE_SLACK_NS + IN_FLIGHT_NS) {
+            violations.add("deadline: " + arrival + " with " + remainingNs / NANOS_PER_MS + " ms left");
         }
     }
 
-    private void judge(Asked request, Map<String, Integer> runs, List<String> all) {
+    private void check(Asked request, Map<String, Integer> runs, List<String> violations) {
         if (request.onceOnly() && runs.getOrDefault(request.id(), 0) > 1) {
-            all.add("duplicate: " + request + " ran " + runs.get(request.id()) + " times");
+            violations.add("duplicate: " + request + " ran " + runs.get(request.id()) + " times");
         }
         if (request.excused() || request.leftAt() > 0) {
             return;
         }
         if (request.answeredAt() == 0) {
-            all.add("lost: " + request);
-        } else if (request.answeredAt() > request.sentAt() + request.waitNs() + LATE_NS) {
-            all.add("late: " + request + " by " + (request.answeredAt() - request.sentAt() - request.waitNs()) / MS + " ms");
+            violations.add("lost: " + request);
+        } else if (request.answeredAt() > request.sentAt() + request.waitNs() + ANSWER_SLACK_NS) {
+            violations.add("late: " + request + " by " + (request.answeredAt() - request.sentAt() - request.waitNs()) / NANOS_PER_MS + " ms");
         }
     }
 }
--- a/app/src/main/java/holdmux/app/soak/SoakClient.java
+++ b/app/src/main/java/holdmux/app/soak/SoakClient.java
@@ -23,46 +23,46 @@
         WRITE("save-quote", 3_000);
 
         final String className;
-        final int mostWaitMs;
+        final int maxWaitMs;
 
-        Kind(String className, int mostWaitMs) {
+        Kind(String className, int maxWaitMs) {
             this.className = className;
-            this.mostWaitMs = mostWaitMs;
+            this.maxWaitMs = maxWaitMs;
         }
     }
 
-    private static final int PAUSE_MS = 25, LEAST_WAIT_MS = 300, LEAVES_ONE_IN = 15, FAULTY_ONE_IN = 20, GRACE_MS = 1_500;
+    private static final int PAUSE_MS = 25, MIN_WAIT_MS = 300, ABANDONED_ONE_IN = 15, FAULTY_ONE_IN = 20, ANSWER_GRACE_MS = 1_500;
 
     private final SoakPooler pooler;
     private final String name;
     private final QuoteGroup group;
     private final SoakAudit audit;
     private final SplittableRandom random;
-    private final BooleanSupplier over;
+    private final BooleanSupplier finished;
     private PgClient connection;
     /** Whether the connection has carried a request before this one, so that it has been at rest. */
-    private boolean rested;
+    private boolean connectionReused;
     /** What the session's reads may show: its last write that was acknowledged since its pooler's start, or any that may
      * have run, or run late. */
     private String acknowledged;
     private final Set<String> uncertain = new HashSet<>();
     private int incarnation, kills;
-    private int count;
+    private int requestCount;
 
-    SoakClient(SoakPooler pooler, int number, QuoteGroup group, SoakAudit audit, long seed, BooleanSupplier over) {
+    SoakClient(SoakPooler pooler, int number, QuoteGroup group, SoakAudit audit, long seed, BooleanSupplier finished) {
         this.pooler = pooler;
         name = pooler.name + "-" + number;
         this.group = group;
         this.audit = audit;
         random = new SplittableRandom(seed);
-        this.over = over;
+        this.finished = finished;
     }
 
     @Override
     public void run() {
         try {
-            while (!over.getAsBoolean()) {
-                askOne();
+            while (!finished.getAsBoolean()) {
+                sendNextRequest();
                 Thread.sleep(random.nextInt(2 * PAUSE_MS));
             }
         } catch (InterruptedException e) {
@@ -72,7 +72,7 @@
         }
     }
 
-    private void askOne() throws InterruptedException {
+    private void sendNextRequest() throws InterruptedException {
         if (incarnation != pooler.incarnation()) {
             incarnation = pooler.incarnation();
             acknowledged = null;
@@ -82,24 +82,24 @@
             return;
         }
         Kind kind = random.nextInt(4) == 0 ? Kind.WRITE : Kind.values()[random.nextInt(Kind.values().length - 1)];
-        int waitMs = LEAST_WAIT_MS + random.nextInt(kind.mostWaitMs - LEAST_WAIT_MS);
-        String id = name + "-" + ++count;
+        int waitMs = MIN_WAIT_MS + random.nextInt(kind.maxWaitMs - MIN_WAIT_MS);
+        String id = name + "-" + ++requestCount;
         if (random.nextInt(FAULTY_ONE_IN) == 0) {
             Fault.Kind fault = Fault.Kind.values()[random.nextInt(Fault.Kind.values().length)];
             boolean provesNoRun = fault == Fault.Kind.FULL || fault == Fault.Kind.MISS;
-            group.plan(id, Fault.of(fault, provesNoRun || random.nextBoolean() ? Fault.Phase.BEFORE_RUN : Fault.Phase.AFTER_RUN));
+            group.planFaults(id, Fault.of(fault, provesNoRun || random.nextBoolean() ? Fault.Phase.BEFORE_RUN : Fault.Phase.AFTER_RUN));
         }
-        if (random.nextInt(LEAVES_ONE_IN) == 0) {
-            leave(kind, id, waitMs);
+        if (random.nextInt(ABANDONED_ONE_IN) == 0) {
+            sendAndDisconnect(kind, id, waitMs);
         } else {
-            ask(kind, id, waitMs);
+            sendAndAwaitAnswer(kind, id, waitMs);
         }
     }
 
     private boolean connect() throws InterruptedException {
         try {
-            connection = new PgClient(pooler.port(), Kind.WRITE.mostWaitMs + GRACE_MS);
-            rested = false;
+            connection = new PgClient(pooler.port(), Kind.WRITE.maxWaitMs + ANSWER_GRACE_MS);
+            connectionReused = false;
             return true;
         } catch (IOException e) {
             Thread.sleep(PAUSE_MS);
@@ -119,7 +119,7 @@
     }
 
     /** Sends a request and closes the connection a little later, whatever has come by then. */
-    private void leave(Kind kind, String id, int waitMs) throws InterruptedException {
+    private void sendAndDisconnect(Kind kind, String id, int waitMs) throws InterruptedException {
         long sent = System.nanoTime();
         try {
             connection.send(sql(kind, id, waitMs));
@@ -134,7 +134,7 @@
         audit.asked(new Asked(id, pooler.name, kind == Kind.WRITE, sent, waitMs * 1_000_000L, 0, System.nanoTime(), false));
     }
 
-    private void ask(Kind kind, String id, int waitMs) {
+    private void sendAndAwaitAnswer(Kind kind, String id, int waitMs) {
         boolean write = kind == Kind.WRITE;
         Map<String, String> rows = new HashMap<>();
         long sent = System.nanoTime();
@@ -143,11 +143,11 @@
         try {
             String sqlState = connection.query(sql(kind, id, waitMs), rows);
             answered = System.nanoTime();
-            rested = true;
+            connectionReused = true;
             if (write) {
-                wrote(id, sqlState);
+                recordWriteResult(id, sqlState);
             } else if (kind == Kind.OWN && sqlState.isEmpty()) {
-                read(id, rows.get(PgClient.VALUE));
+                checkRead(id, rows.get(PgClient.VALUE));
             }
         } catch (IOException e) {
             excused = !(e instanceof SocketTimeoutException) && isExcused(id);
@@ -164,17 +164,17 @@
 
     /** A close without an answer: the pooler was killed, or ended a connection at rest by a close that crossed the request. */
     private boolean isExcused(String id) {
-        boolean sentOn = group.arrivals().stream().anyMatch(arrival -> arrival.id().equals(id));
-        boolean sameStart = pooler.process().isAlive() && incarnation == pooler.incarnation();
-        return pooler.isKilled() || killedSince() || !sameStart && !sentOn
-                || (pooler.isTerminating() || pooler.isCrowded() && rested) && !sentOn;
+        boolean forwarded = group.arrivals().stream().anyMatch(arrival -> arrival.id().equals(id));
+        boolean sameIncarnation = pooler.process().isAlive() && incarnation == pooler.incarnation();
+        return pooler.isKilled() || killedSince() || !sameIncarnation && !forwarded
+                || (pooler.isTerminating() || pooler.isCrowded() && connectionReused) && !forwarded;
     }
 
     private boolean killedSince() {
         return kills != pooler.kills();
     }
 
-    private void wrote(String id, String sqlState) {
+    private void recordWriteResult(String id, String sqlState) {
         if (sqlState.isEmpty()) {
             acknowledged = id;
         } else if (!sqlState.equals("53300") && !sqlState.equals("57P03")) {
@@ -182,19 +182,19 @@
         }
     }
 
-    private void read(String id, String value) {
-        boolean sameStart = incarnation == pooler.incarnation() && kills == pooler.kills();
-        if (acknowledged != null && sameStart && !value.equals(acknowledged) && !uncertain.contains(value)) {
+    private void checkRead(String id, String value) {
+        boolean sameIncarnation = incarnation == pooler.incarnation() && kills == pooler.kills();
+        if (acknowledged != null && sameIncarnation && !value.equals(acknowledged) && !uncertain.contains(value)) {
             audit.broken("stale: " + id + " read " + value + " where " + acknowledged + " or " + uncertain + " may be read");
         }
     }
 
     private String sql(Kind kind, String id, int waitMs) {
-        String figures = " /* id=" + id + ",c=" + kind.className + ",d=" + waitMs + ",cluster=1 */";
+        String attributes = " /* id=" + id + ",c=" + kind.className + ",d=" + waitMs + ",cluster=1 */";
         if (kind == Kind.WRITE) {
             String value = HexFormat.of().formatHex(id.getBytes(StandardCharsets.UTF_8));
-            return "INSERT INTO facts (code, data) VALUES ('" + name + "', '\\x" + value + "') RETURNING data" + figures;
+            return "INSERT INTO facts (code, data) VALUES ('" + name + "', '\\x" + value + "') RETURNING data" + attributes;
         }
-        return "SELECT data FROM facts WHERE code = '" + name + "'" + figures;
+        return "SELECT data FROM facts WHERE code = '" + name + "'" + attributes;
     }
 }
--- a/app/src/main/java/holdmux/app/soak/SoakPooler.java
+++ b/app/src/main/java/holdmux/app/soak/SoakPooler.java
@@ -13,17 +13,17 @@
 
 /** One pooler of the soak: its process, two ways to discovery of its own, and how often it has started. */
 final class SoakPooler implements AutoCloseable {
-    private static final int STATS_TRIES = 50;
-    private static final long AGAIN_MS = 100;
+    private static final int MAX_STATS_RETRIES = 50;
+    private static final long STATS_RETRY_DELAY_MS = 100;
 
     final String name;
     private final PoolerProcess process;
     private final JSONObject config;
-    private static final long OLD_WAY_CLOSES_MS = 1_500;
+    private static final long OLD_RELAY_CLOSE_DELAY_MS = 1_500;
 
     private final DiscoveryAgent agent;
-    private final FaultRelay[] discovery = new FaultRelay[2];
-    private int following;
+    private final FaultRelay[] discoveryRelay = new FaultRelay[2];
+    private int activeRelay;
     private volatile int incarnation;
     private volatile int kills;
     private volatile boolean killed, terminating, crowded;
@@ -32,14 +32,14 @@
         this.name = name;
         this.config = new JSONObject(config);
         this.agent = agent;
-        discovery[0] = new FaultRelay(agent.address());
-        discovery[1] = new FaultRelay(agent.address());
-        process = new PoolerProcess(name, port, folder.resolve(name), follow(0), List.of());
+        discoveryRelay[0] = new FaultRelay(agent.address());
+        discoveryRelay[1] = new FaultRelay(agent.address());
+        process = new PoolerProcess(name, port, folder.resolve(name), selectRelay(0), List.of());
     }
 
-    private String follow(int which) {
-        following = which;
-        return config.put("discovery", "127.0.0.1:" + discovery[which].address().getPort()).toString();
+    private String selectRelay(int index) {
+        activeRelay = index;
+        return config.put("discovery", "127.0.0.1:" + discoveryRelay[index].address().getPort()).toString();
     }
 
     PoolerProcess process() {
@@ -56,8 +56,8 @@
     }
 
     /** The way to discovery that it follows now. */
-    synchronized FaultRelay discovery() {
-        return discovery[following];
+    synchronized FaultRelay discoveryRelay() {
+        return discoveryRelay[activeRelay];
     }
 
     /** How often it was started: what a session wrote counts within one start only. */
@@ -105,32 +105,32 @@
     }
 
     /** SIGTERM, and SIGKILL after this time if it is still there; whether it ended by itself. */
-    boolean end(long killAfterMs) throws IOException, InterruptedException {
+    boolean terminate(long killAfterMs) throws IOException, InterruptedException {
         terminating = true;
         process.signal("TERM");
-        long by = System.nanoTime() + killAfterMs * 1_000_000;
-        while (process.isAlive() && System.nanoTime() < by) {
+        long deadlineNs = System.nanoTime() + killAfterMs * 1_000_000;
+        while (process.isAlive() && System.nanoTime() < deadlineNs) {
             Thread.sleep(5);
         }
-        boolean ended = !process.isAlive();
+        boolean exited = !process.isAlive();
         process.kill();
-        return ended;
+        return exited;
     }
 
     /** A new configuration: the other way to discovery; SIGHUP. The old way takes no connection and closes the open ones later. */
     void moveDiscovery() throws IOException, InterruptedException {
-        FaultRelay old = discovery();
-        hangUp();
-        Thread.sleep(OLD_WAY_CLOSES_MS);
-        if (old != discovery()) {
-            old.set(FaultRelay.Mode.RESET);
+        FaultRelay oldRelay = discoveryRelay();
+        reloadWithOtherRelay();
+        Thread.sleep(OLD_RELAY_CLOSE_DELAY_MS);
+        if (oldRelay != discoveryRelay()) {
+            oldRelay.setMode(FaultRelay.Mode.RESET);
         }
     }
 
     /** Names the other way to discovery and tells the process by SIGHUP. */
-    synchronized void hangUp() throws IOException, InterruptedException {
-        discovery[1 - following].set(FaultRelay.Mode.PASS);
-        process.configure(follow(1 - following));
+    synchronized void reloadWithOtherRelay() throws IOException, InterruptedException {
+        discoveryRelay[1 - activeRelay].setMode(FaultRelay.Mode.PASS);
+        process.configure(selectRelay(1 - activeRelay));
         process.signal("HUP");
     }
 
@@ -141,10 +141,10 @@
             try (PgClient client = process.talk()) {
                 client.query("SHOW STATS", counters);
             } catch (IOException e) {
-                if (i == STATS_TRIES) {
+                if (i == MAX_STATS_RETRIES) {
                     throw e;
                 }
-                Thread.sleep(AGAIN_MS);
+                Thread.sleep(STATS_RETRY_DELAY_MS);
             }
         }
         return counters;
@@ -153,7 +153,7 @@
     @Override
     public void close() throws IOException {
         process.kill();
-        discovery[0].close();
-        discovery[1].close();
+        discoveryRelay[0].close();
+        discoveryRelay[1].close();
     }
 }
--- a/app/src/test/java/holdmux/app/drill/DrainUnderFaultsTest.java
+++ b/app/src/test/java/holdmux/app/drill/DrainUnderFaultsTest.java
@@ -54,10 +54,10 @@
                     pooler.awaitListening();
                     threads.submit(() -> load(pooler, over));
                     Thread.sleep(1_000);
-                    discovery.slow(eachWayMs);
+                    discovery.setDelay(eachWayMs);
                     Thread.sleep(3_000); // calls that were under way have ended
                     long began = System.nanoTime();
-                    fleet.list(DRAINING, "draining");
+                    fleet.setHealth(DRAINING, "draining");
                     Thread.sleep(TOLD_MS + GRACE_MS + WATCHED_MS);
                     over.set(true);
                     List<Arrival> arrivals = fleet.group().arrivals();
--- a/app/src/test/java/holdmux/app/drill/PlatformTest.java
+++ b/app/src/test/java/holdmux/app/drill/PlatformTest.java
@@ -140,7 +140,7 @@
     /** Lists every so many servers from one on: the first of each group is played by the primary, the others by a replica. */
     private void list(int from, int every, String health) {
         for (int i = from; i < SERVERS; i += every) {
-            fleet.also("s-of-a-large-fleet-" + i, i % OF_A_GROUP == 0 ? "s-1" : "s-2", 1 + i / OF_A_GROUP, health);
+            fleet.addAlias("s-of-a-large-fleet-" + i, i % OF_A_GROUP == 0 ? "s-1" : "s-2", 1 + i / OF_A_GROUP, health);
         }
     }
 
@@ -173,7 +173,7 @@
             clients.add(new PgClient(pooler.port, 10_000));
         }
         List<Future<String>> told = new ArrayList<>(List.of(hangs(clients.get(0), "w"), hangs(clients.get(1), "r")));
-        while (!fleet.group().runs().containsKey("w")) {
+        while (!fleet.group().runCounts().containsKey("w")) {
             Thread.sleep(10);
         }
         pooler.signal("TERM");
@@ -190,7 +190,7 @@
 
     /** Asks for what every server hangs on, a write where the id says so; the SQLSTATE of its answer. */
     private Future<String> hangs(PgClient client, String id) {
-        fleet.group().plan(id, Collections.nCopies(6, Fault.of(Fault.Kind.SILENT, Fault.Phase.AFTER_RUN)).toArray(Fault[]::new));
+        fleet.group().planFaults(id, Collections.nCopies(6, Fault.of(Fault.Kind.SILENT, Fault.Phase.AFTER_RUN)).toArray(Fault[]::new));
         Callable<String> asks = () -> client.query(sql(id.equals("w"), id, 1), new HashMap<>());
         return threads.submit(asks);
     }
@@ -201,14 +201,14 @@
         InetSocketAddress agent = Config.address(new JSONObject(fleet.config(1, 1, 1)).getString("discovery"));
         List<Socket> idle = new ArrayList<>();
         try (FaultRelay discovery = new FaultRelay(agent)) {
-            discovery.set(FaultRelay.Mode.RESET);
+            discovery.setMode(FaultRelay.Mode.RESET);
             start(config -> config.put("discovery", "127.0.0.1:" + discovery.address().getPort()));
             for (int i = 0; i < IDLE; i++) {
                 idle.add(new Socket("127.0.0.1", pooler.port));
             }
             assertEquals(1, counter("lists_taken"), "the one it was given at its start");
-            fleet.list("s-2", "draining");
-            discovery.set(FaultRelay.Mode.PASS);
+            fleet.setHealth("s-2", "draining");
+            discovery.setMode(FaultRelay.Mode.PASS);
             long by = System.nanoTime() + TOLD_NS;
             while (counter("lists_taken") <= 1) {
                 assertTrue(System.nanoTime() < by, "what discovery has counts as told by now");
--- a/app/src/test/java/holdmux/app/soak/DrainPlayTest.java
+++ b/app/src/test/java/holdmux/app/soak/DrainScenarioTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import holdmux.app.soak.DrainPlay.Result;
-import holdmux.app.soak.DrainPlay.Trouble;
+import holdmux.app.soak.DrainScenario.Result;
+import holdmux.app.soak.DrainScenario.FaultType;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Each way by which a drain that was told may not be in force, alone and in pairs, on real processes. */
-class DrainPlayTest {
+class DrainScenarioTest {
     /** Plays at once: each is a process that mostly waits. */
-    private static final int AT_ONCE = Integer.getInteger("plays.at.once", 8);
+    private static final int CONCURRENCY = Integer.getInteger("plays.at.once", 8);
     /** Pairs in each run; {@code -Dplays.pairs=1000} plays all. */
     private static final int PAIRS = Integer.getInteger("plays.pairs", 16);
     private static final long SEED = Long.getLong("plays.seed", 20261202L);
@@ -33,47 +33,47 @@
 
     @Test
     @Timeout(value = 5, unit = TimeUnit.MINUTES)
-    void aDrainHoldsUnderEachTrouble() throws Exception {
-        List<Set<Trouble>> singles = new ArrayList<>();
-        for (Trouble trouble : Trouble.values()) {
-            singles.add(EnumSet.of(trouble));
+    void drainIsKeptUnderEachFault() throws Exception {
+        List<Set<FaultType>> singles = new ArrayList<>();
+        for (FaultType fault : FaultType.values()) {
+            singles.add(EnumSet.of(fault));
         }
-        assertGood(singles);
+        assertAllPass(singles);
     }
 
     @Test
     @Timeout(value = 15, unit = TimeUnit.MINUTES)
-    void aDrainHoldsUnderTwoTroublesAtOnce() throws Exception {
-        List<Set<Trouble>> pairs = new ArrayList<>();
-        for (Trouble one : Trouble.values()) {
-            for (Trouble other : EnumSet.range(one, Trouble.MOVE_BY_HALF_A_FILE)) {
-                if (DrainPlay.goTogether(one, other)) {
+    void drainIsKeptUnderPairsOfFaults() throws Exception {
+        List<Set<FaultType>> pairs = new ArrayList<>();
+        for (FaultType one : FaultType.values()) {
+            for (FaultType other : EnumSet.range(one, FaultType.MOVE_BY_HALF_A_FILE)) {
+                if (DrainScenario.areCompatible(one, other)) {
                     pairs.add(EnumSet.of(one, other));
                 }
             }
         }
         Collections.shuffle(pairs, new Random(SEED));
-        assertGood(pairs.subList(0, Math.min(PAIRS, pairs.size())));
+        assertAllPass(pairs.subList(0, Math.min(PAIRS, pairs.size())));
     }
 
-    private void assertGood(List<Set<Trouble>> all) throws Exception {
-        ExecutorService lanes = Executors.newFixedThreadPool(AT_ONCE);
+    private void assertAllPass(List<Set<FaultType>> faultSets) throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(CONCURRENCY);
         try {
             List<Future<Result>> results = new ArrayList<>();
-            for (Set<Trouble> troubles : all) {
-                Path own = Files.createDirectories(folder.resolve("play-" + results.size()));
-                results.add(lanes.submit(() -> DrainPlay.play(troubles, own)));
+            for (Set<FaultType> faults : faultSets) {
+                Path directory = Files.createDirectories(folder.resolve("play-" + results.size()));
+                results.add(executor.submit(() -> DrainScenario.runScenario(faults, directory)));
             }
-            List<Result> broken = new ArrayList<>();
+            List<Result> failures = new ArrayList<>();
             for (Future<Result> result : results) {
                 System.out.println("drain play: " + result.get());
-                if (!result.get().isGood()) {
-                    broken.add(result.get());
+                if (!result.get().isPassed()) {
+                    failures.add(result.get());
                 }
             }
-            assertEquals(List.of(), broken);
+            assertEquals(List.of(), failures);
         } finally {
-            lanes.shutdownNow();
+            executor.shutdownNow();
         }
     }
 }
--- a/app/src/test/java/holdmux/app/soak/FaultSoakTest.java
+++ b/app/src/test/java/holdmux/app/soak/FaultSoakTest.java
@@ -16,10 +16,10 @@
 
     @Test
     @Timeout(value = 120, unit = TimeUnit.SECONDS)
-    void faultsThatOverlapBreakNoRule() throws Exception {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        try (FaultSoak soak = new FaultSoak(new PrintStream(told, true, StandardCharsets.UTF_8))) {
-            assertEquals(List.of(), soak.run(POOLERS, SECONDS, 20261202, false), () -> told.toString(StandardCharsets.UTF_8));
+    void overlappingFaultsCauseNoViolation() throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        try (FaultSoak soak = new FaultSoak(new PrintStream(output, true, StandardCharsets.UTF_8))) {
+            assertEquals(List.of(), soak.run(POOLERS, SECONDS, 20261202, false), () -> output.toString(StandardCharsets.UTF_8));
         }
     }
 }
--- a/app/src/test/java/holdmux/app/soak/SoakAuditTest.java
+++ b/app/src/test/java/holdmux/app/soak/SoakAuditTest.java
@@ -24,66 +24,66 @@
         return new Asked("a", "p1", true, sentMs * MS, 1_000 * MS, answeredMs * MS, leftMs * MS, false);
     }
 
-    private static void assertBroken(String rule, List<String> verdict) {
+    private static void assertViolation(String rule, List<String> verdict) {
         assertEquals(1, verdict.size(), verdict.toString());
         assertTrue(verdict.get(0).startsWith(rule), verdict.toString());
     }
 
     @Test
-    void aRequestThatKeepsEveryRuleIsNotNamed() {
+    void compliantRequestIsNotReported() {
         assertEquals(List.of(), verdict(asked(1, 900, 0), 10, 990, 1));
     }
 
     @Test
-    void whatIsLostLateOrRunTwiceIsNamed() {
-        assertBroken("lost", verdict(asked(1, 0, 0), 10, 990, 1));
-        assertBroken("late", new SoakAuditTest().verdict(asked(1, 1_600, 0), 10, 990, 1));
-        assertBroken("duplicate", new SoakAuditTest().verdict(asked(1, 900, 0), 10, 990, 2));
-        assertBroken("deadline", new SoakAuditTest().verdict(asked(1, 900, 0), 700, 990, 1));
-        assertBroken("client gone", new SoakAuditTest().verdict(asked(1, 0, 50), 600, 300, 1));
+    void lostLateAndDuplicateRequestsAreReported() {
+        assertViolation("lost", verdict(asked(1, 0, 0), 10, 990, 1));
+        assertViolation("late", new SoakAuditTest().verdict(asked(1, 1_600, 0), 10, 990, 1));
+        assertViolation("duplicate", new SoakAuditTest().verdict(asked(1, 900, 0), 10, 990, 2));
+        assertViolation("deadline", new SoakAuditTest().verdict(asked(1, 900, 0), 700, 990, 1));
+        assertViolation("client gone", new SoakAuditTest().verdict(asked(1, 0, 50), 600, 300, 1));
     }
 
     /** A drain binds 2 s after the agent had it, and until the server is up again. */
     @Test
-    void aSendPastTheGraceIsNamed() {
-        long binds = SoakAudit.GRACE_NS / MS + 100;
-        long slack = SoakAudit.ON_ITS_WAY_NS / MS;
-        for (long at : new long[] {binds + slack - 1, binds + slack + 1, 20_001}) {
+    void sendAfterDrainGraceIsReported() {
+        long bindsAt = SoakAudit.DRAIN_GRACE_NS / MS + 100;
+        long slack = SoakAudit.IN_FLIGHT_NS / MS;
+        for (long at : new long[] {bindsAt + slack - 1, bindsAt + slack + 1, 20_001}) {
             SoakAuditTest each = new SoakAuditTest();
-            each.audit.stopped("s-1", 100 * MS, 20_000 * MS);
+            each.audit.addOutOfService("s-1", 100 * MS, 20_000 * MS);
             List<String> verdict = each.verdict(asked(at - 10, at + 10, 0), at, 900, 1);
-            assertEquals(at == binds + slack + 1, verdict.size() == 1 && verdict.get(0).startsWith("drain"), verdict.toString());
+            assertEquals(at == bindsAt + slack + 1, verdict.size() == 1 && verdict.get(0).startsWith("drain"), verdict.toString());
         }
     }
 
     @Test
-    void whatComesInASilenceIsToldAtItsEnd() {
-        ToldTimes told = audit.told();
-        told.silent("p1", 50 * MS, 1_000 * MS);
-        told.silent("p1", 1_050 * MS, 4_000 * MS);
-        assertEquals(4_000 * MS, told.toldAt(100 * MS, "p1", 9_000 * MS));
-        assertEquals(100 * MS, told.toldAt(100 * MS, "p2", 9_000 * MS));
-        assertEquals(4_200 * MS, told.toldAt(4_200 * MS, "p1", 9_000 * MS));
+    void changeDuringSilenceIsDeliveredAtItsEnd() {
+        DeliveryTimes times = audit.deliveryTimes();
+        times.addSilence("p1", 50 * MS, 1_000 * MS);
+        times.addSilence("p1", 1_050 * MS, 4_000 * MS);
+        assertEquals(4_000 * MS, times.deliveredAt(100 * MS, "p1", 9_000 * MS));
+        assertEquals(100 * MS, times.deliveredAt(100 * MS, "p2", 9_000 * MS));
+        assertEquals(4_200 * MS, times.deliveredAt(4_200 * MS, "p1", 9_000 * MS));
     }
 
     /** What the agent had before a silence binds a process from its first moment, whether or not it was heard. */
     @Test
-    void aNewProcessIsToldAtItsFirstMoment() {
-        ToldTimes told = audit.told();
-        told.silent("p1", 500 * MS, 9_000 * MS);
-        told.started("p1", 600 * MS);
-        told.started("p1", 8_000 * MS);
-        assertEquals(600 * MS, told.toldAt(100 * MS, "p1", 7_000 * MS));
-        assertEquals(8_000 * MS, told.toldAt(100 * MS, "p1", 8_500 * MS));
+    void earlierChangeIsDeliveredToNewProcessAtItsStart() {
+        DeliveryTimes times = audit.deliveryTimes();
+        times.addSilence("p1", 500 * MS, 9_000 * MS);
+        times.addStart("p1", 600 * MS);
+        times.addStart("p1", 8_000 * MS);
+        assertEquals(600 * MS, times.deliveredAt(100 * MS, "p1", 7_000 * MS));
+        assertEquals(8_000 * MS, times.deliveredAt(100 * MS, "p1", 8_500 * MS));
     }
 
     @Test
-    void aMoveAndASlowWayTakeTheirTime() {
-        ToldTimes told = audit.told();
-        told.hungUp("p1", 1_000 * MS);
-        told.slow("p2", 0, 2_000 * MS, 300 * MS);
-        assertEquals(5_000 * MS, told.toldAt(1_500 * MS, "p1", 9_000 * MS));
-        assertEquals(500 * MS, told.toldAt(500 * MS, "p1", 9_000 * MS), "told by the old agent");
-        assertEquals(1_400 * MS, told.toldAt(500 * MS, "p2", 9_000 * MS));
+    void moveAndSlowNetworkDelayDelivery() {
+        DeliveryTimes times = audit.deliveryTimes();
+        times.addReload("p1", 1_000 * MS);
+        times.addDelay("p2", 0, 2_000 * MS, 300 * MS);
+        assertEquals(5_000 * MS, times.deliveredAt(1_500 * MS, "p1", 9_000 * MS));
+        assertEquals(500 * MS, times.deliveredAt(500 * MS, "p1", 9_000 * MS), "told by the old agent");
+        assertEquals(1_400 * MS, times.deliveredAt(500 * MS, "p2", 9_000 * MS));
     }
 }
--- a/bench/StartToReady.java
+++ b/bench/StartToReady.java
@@ -16,77 +16,77 @@
  * <pre>java bench/StartToReady.java 15 'java … serve' 'java … serve'</pre>
  */
 public final class StartToReady {
-    private record Start(double readyMs, double cpuMs, double residentMb) {
-        double[] figures() {
+    private record Measurement(double readyMs, double cpuMs, double residentMb) {
+        double[] values() {
             return new double[] {readyMs, cpuMs, residentMb};
         }
     }
 
     public static void main(String[] args) throws Exception {
         int pairs = Integer.parseInt(args[0]);
-        Path folder = Files.createTempDirectory("start");
+        Path directory = Files.createTempDirectory("start");
         String sample = Files.readString(Path.of("pooler/src/test/resources/config.json"));
-        List<double[]> a = new ArrayList<>();
-        List<double[]> b = new ArrayList<>();
+        List<double[]> valuesA = new ArrayList<>();
+        List<double[]> valuesB = new ArrayList<>();
         for (int i = -1; i < pairs; i++) {
-            double[] first = start(args[1], folder, sample).figures();
-            double[] second = start(args[2], folder, sample).figures();
+            double[] first = measureStart(args[1], directory, sample).values();
+            double[] second = measureStart(args[2], directory, sample).values();
             if (i >= 0) { // the first pair warms the file cache
-                a.add(first);
-                b.add(second);
+                valuesA.add(first);
+                valuesB.add(second);
             }
         }
         String[] names = {"ready ms", "cpu ms", "resident MB"};
-        for (int f = 0; f < names.length; f++) {
-            int figure = f;
+        for (int column = 0; column < names.length; column++) {
+            int index = column;
             double[] ratios = new double[pairs];
-            Arrays.setAll(ratios, i -> b.get(i)[figure] / a.get(i)[figure]);
-            System.out.printf("%-12s A %.1f  B %.1f  B/A median %.3f (quartiles %.3f to %.3f)%n", names[f],
-                    median(a, f), median(b, f), quantile(ratios, 0.5), quantile(ratios, 0.25), quantile(ratios, 0.75));
+            Arrays.setAll(ratios, i -> valuesB.get(i)[index] / valuesA.get(i)[index]);
+            System.out.printf("%-12s A %.1f  B %.1f  B/A median %.3f (quartiles %.3f to %.3f)%n", names[column],
+                    median(valuesA, column), median(valuesB, column), quantile(ratios, 0.5), quantile(ratios, 0.25), quantile(ratios, 0.75));
         }
     }
 
-    private static double median(List<double[]> runs, int figure) {
-        return quantile(runs.stream().mapToDouble(r -> r[figure]).toArray(), 0.5);
+    private static double median(List<double[]> runs, int index) {
+        return quantile(runs.stream().mapToDouble(r -> r[index]).toArray(), 0.5);
     }
 
-    private static double quantile(double[] values, double part) {
+    private static double quantile(double[] values, double fraction) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
-        return sorted[(int) Math.round(part * (sorted.length - 1))];
+        return sorted[(int) Math.round(fraction * (sorted.length - 1))];
     }
 
-    private static Start start(String command, Path folder, String sample) throws Exception {
-        int management = freePort();
-        Path file = folder.resolve("config.json");
+    private static Measurement measureStart(String command, Path directory, String sample) throws Exception {
+        int managementPort = freePort();
+        Path file = directory.resolve("config.json");
         Files.writeString(file, sample.replace("127.0.0.1:8500", "127.0.0.1:" + freePort())
                 .replace("127.0.0.1:5433", "127.0.0.1:" + freePort()));
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", "exec " + command);
         builder.environment().put("BALANCER_CONFIG", file.toString());
-        builder.environment().put("BALANCER_MANAGEMENT", "127.0.0.1:" + management);
-        builder.environment().put("TMPDIR", Files.createTempDirectory(folder, "run").toString());
+        builder.environment().put("BALANCER_MANAGEMENT", "127.0.0.1:" + managementPort);
+        builder.environment().put("TMPDIR", Files.createTempDirectory(directory, "run").toString());
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD);
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         Process process = builder.start();
         try {
-            while (!ready(management)) {
+            while (!ready(managementPort)) {
                 Thread.sleep(1);
             }
-            double readyMs = (System.nanoTime() - from) / 1e6;
+            double readyMs = (System.nanoTime() - startNs) / 1e6;
             Path proc = Path.of("/proc", Long.toString(process.pid()));
             String[] stat = Files.readString(proc.resolve("stat")).replaceAll("^.*\\) ", "").split(" ");
             double cpuMs = (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) * 10.0; // in ticks of 10 ms
-            double mb = Files.readAllLines(proc.resolve("status")).stream().filter(l -> l.startsWith("VmRSS"))
+            double residentMb = Files.readAllLines(proc.resolve("status")).stream().filter(l -> l.startsWith("VmRSS"))
                     .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", ""))).sum() / 1024;
-            return new Start(readyMs, cpuMs, mb);
+            return new Measurement(readyMs, cpuMs, residentMb);
         } finally {
             process.destroyForcibly().waitFor();
         }
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            return free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            return socket.getLocalPort();
         }
     }
 
--- a/fleet/src/main/java/holdmux/fleet/LeaseBook.java
+++ b/fleet/src/main/java/holdmux/fleet/LeaseAllocator.java
@@ -10,19 +10,19 @@
  * members need not agree on anything: whoever is cut off from whom, what all of them have granted is at most the limit.
  * No clock and no I/O: times are nanoseconds of the member's own monotonic clock. Not thread-safe.
  */
-public final class LeaseBook {
+public final class LeaseAllocator {
     /**
      * Poolers that hold something of one limit at once, the largest fleet planned for: each question looks at all of them.
      * Further ones get nothing and live on their static share.
      */
-    static final int MOST_HOLDERS = 1_000;
+    static final int MAX_HOLDERS = 1_000;
 
     /** What a pooler may still be using of an answer that it may or may not have had. */
     private record Lease(double amount, long untilNs) {}
 
     private static final class Holder {
         final List<Lease> leases = new ArrayList<>();
-        double wanted;
+        double demand;
 
         /** A renewal that is smaller binds only once it has arrived: until the older lease lapses both may be in use. */
         double outstanding() {
@@ -30,9 +30,9 @@
         }
     }
 
-    private final double part;
+    private final double share;
     private final long leaseNs;
-    private final long learnsUntilNs;
+    private final long startupGraceUntilNs;
     private final Map<String, Holder> holders = new HashMap<>();
 
     /**
@@ -41,47 +41,47 @@
      * @param startNs the member's start: for one lease from then on nothing is granted, as what it granted before its
      *                start may still be in use
      */
-    public LeaseBook(double part, long leaseNs, long startNs) {
-        if (!(part >= 0) || leaseNs <= 0) {
-            throw new IllegalArgumentException("a part of " + part + " for " + leaseNs + " ns");
+    public LeaseAllocator(double share, long leaseNs, long startNs) {
+        if (!(share >= 0) || leaseNs <= 0) {
+            throw new IllegalArgumentException("a part of " + share + " for " + leaseNs + " ns");
         }
-        this.part = part;
+        this.share = share;
         this.leaseNs = leaseNs;
-        learnsUntilNs = startNs + leaseNs;
+        startupGraceUntilNs = startNs + leaseNs;
     }
 
     /**
      * A pooler asks, having measured that it wants so much; what it is granted for a lease from now, in place of what it
      * had here. Shares are max-min fair: who wants less than an equal share gets all it wants, the others divide the rest.
      */
-    public double ask(String pooler, double wanted, long nowNs) {
-        lapse(nowNs);
-        if (nowNs - learnsUntilNs < 0 || !(wanted > 0) || holders.size() >= MOST_HOLDERS && !holders.containsKey(pooler)) {
+    public double acquire(String pooler, double demand, long nowNs) {
+        removeExpired(nowNs);
+        if (nowNs - startupGraceUntilNs < 0 || !(demand > 0) || holders.size() >= MAX_HOLDERS && !holders.containsKey(pooler)) {
             return 0;
         }
         Holder holder = holders.computeIfAbsent(pooler, name -> new Holder());
-        holder.wanted = wanted;
-        double others = holders.values().stream().filter(h -> h != holder).mapToDouble(Holder::outstanding).sum();
-        double granted = Math.max(0, Math.min(Math.min(wanted, fairShare()), part - others));
+        holder.demand = demand;
+        double othersOutstanding = holders.values().stream().filter(h -> h != holder).mapToDouble(Holder::outstanding).sum();
+        double granted = Math.max(0, Math.min(Math.min(demand, fairShare()), share - othersOutstanding));
         holder.leases.add(new Lease(granted, nowNs + leaseNs));
         return granted;
     }
 
     /** The water level: the most that anybody gets where the part does not cover all that is wanted. */
     private double fairShare() {
-        double[] wanted = holders.values().stream().mapToDouble(h -> h.wanted).sorted().toArray();
-        double left = part;
-        for (int i = 0; i < wanted.length; i++) {
-            double level = left / (wanted.length - i);
-            if (wanted[i] > level) {
-                return level;
+        double[] demands = holders.values().stream().mapToDouble(h -> h.demand).sorted().toArray();
+        double remaining = share;
+        for (int i = 0; i < demands.length; i++) {
+            double equalShare = remaining / (demands.length - i);
+            if (demands[i] > equalShare) {
+                return equalShare;
             }
-            left -= wanted[i];
+            remaining -= demands[i];
         }
-        return part;
+        return share;
     }
 
-    private void lapse(long nowNs) {
+    private void removeExpired(long nowNs) {
         holders.values().removeIf(holder -> {
             holder.leases.removeIf(lease -> nowNs - lease.untilNs() >= 0);
             return holder.leases.isEmpty();
@@ -90,7 +90,7 @@
 
     /** What may be in use now of what was granted here: never more than the part. */
     public double outstanding(long nowNs) {
-        lapse(nowNs);
+        removeExpired(nowNs);
         return holders.values().stream().mapToDouble(Holder::outstanding).sum();
     }
 }
--- a/fleet/src/main/java/holdmux/fleet/LeaseHolder.java
+++ b/fleet/src/main/java/holdmux/fleet/LeaseHolder.java
@@ -10,13 +10,13 @@
  */
 public final class LeaseHolder {
     /** Two clocks that run apart by less than this part never make a lease last longer here than where it was granted. */
-    static final double CLOCK_MARGIN = 0.02;
+    static final double CLOCK_DRIFT_MARGIN = 0.02;
 
-    private record Lease(double amount, long askedNs) {}
+    private record Lease(double amount, long requestedNs) {}
 
     private final double staticShare;
-    private final long lastsNs;
-    private final Map<String, Lease> byMember = new HashMap<>();
+    private final long durationNs;
+    private final Map<String, Lease> leasesByMember = new HashMap<>();
 
     /**
      * @param limit      the whole limit
@@ -25,19 +25,19 @@
      *                   {@code limit * staticPart * (actual / poolers - 1)}
      * @param leaseNs    how long a lease lasts at the member
      */
-    public LeaseHolder(double limit, double staticPart, int poolers, long leaseNs) {
-        staticShare = limit * staticPart / Math.max(1, poolers);
-        lastsNs = (long) (leaseNs * (1 - CLOCK_MARGIN));
+    public LeaseHolder(double limit, double staticFraction, int poolers, long leaseNs) {
+        staticShare = limit * staticFraction / Math.max(1, poolers);
+        durationNs = (long) (leaseNs * (1 - CLOCK_DRIFT_MARGIN));
     }
 
     /** A member answered a question asked then. An answer to an older question than the last one here counts for nothing. */
-    public void granted(String member, double amount, long askedNs) {
-        byMember.merge(member, new Lease(amount, askedNs), (was, is) -> is.askedNs() - was.askedNs() > 0 ? is : was);
+    public void granted(String member, double amount, long requestedNs) {
+        leasesByMember.merge(member, new Lease(amount, requestedNs), (oldLease, newLease) -> newLease.requestedNs() - oldLease.requestedNs() > 0 ? newLease : oldLease);
     }
 
     /** What may be used now. */
-    public double held(long nowNs) {
-        byMember.values().removeIf(lease -> nowNs - lease.askedNs() >= lastsNs);
-        return staticShare + byMember.values().stream().mapToDouble(Lease::amount).sum();
+    public double available(long nowNs) {
+        leasesByMember.values().removeIf(lease -> nowNs - lease.requestedNs() >= durationNs);
+        return staticShare + leasesByMember.values().stream().mapToDouble(Lease::amount).sum();
     }
 }
--- a/fleet/src/test/java/holdmux/fleet/LeasesTest.java
+++ b/fleet/src/test/java/holdmux/fleet/LeasesTest.java
@@ -16,23 +16,23 @@
 
     @Test
     void whoWantsLittleGetsItAndTheOthersDivideTheRest() {
-        LeaseBook book = new LeaseBook(100, 10 * S, -10 * S);
-        assertEquals(10, book.ask("small", 10, 0));
-        assertEquals(90, book.ask("large", 500, 0), "nobody else has asked yet");
-        assertEquals(0, book.ask("late", 500, S), "all is out");
-        assertEquals(45, book.ask("large", 500, 2 * S), "its share now; the larger lease is in use until it lapses");
-        assertEquals(0, book.ask("late", 500, 3 * S));
-        assertEquals(50, book.ask("late", 500, 10 * S), "the large lease and the small one have lapsed: two share it");
+        LeaseAllocator book = new LeaseAllocator(100, 10 * S, -10 * S);
+        assertEquals(10, book.acquire("small", 10, 0));
+        assertEquals(90, book.acquire("large", 500, 0), "nobody else has asked yet");
+        assertEquals(0, book.acquire("late", 500, S), "all is out");
+        assertEquals(45, book.acquire("large", 500, 2 * S), "its share now; the larger lease is in use until it lapses");
+        assertEquals(0, book.acquire("late", 500, 3 * S));
+        assertEquals(50, book.acquire("late", 500, 10 * S), "the large lease and the small one have lapsed: two share it");
     }
 
     /** A member that was killed has forgotten what it granted: for one lease it grants nothing. */
     @Test
     void aMemberThatHasJustStartedGrantsNothing() {
-        LeaseBook book = new LeaseBook(100, 10 * S, 5 * S);
-        assertEquals(0, book.ask("p", 10, 15 * S - 1));
-        assertEquals(10, book.ask("p", 10, 15 * S));
-        for (int i = 0; i < 2 * LeaseBook.MOST_HOLDERS; i++) {
-            book.ask("flood" + i, 1, 16 * S);
+        LeaseAllocator book = new LeaseAllocator(100, 10 * S, 5 * S);
+        assertEquals(0, book.acquire("p", 10, 15 * S - 1));
+        assertEquals(10, book.acquire("p", 10, 15 * S));
+        for (int i = 0; i < 2 * LeaseAllocator.MAX_HOLDERS; i++) {
+            book.acquire("flood" + i, 1, 16 * S);
         }
         assertTrue(book.outstanding(16 * S) <= 100);
         assertEquals(0, book.outstanding(30 * S), "all lapses");
@@ -42,13 +42,13 @@
     @Test
     void aLeaseCountsFromItsQuestion() {
         LeaseHolder holder = new LeaseHolder(100, 0.2, 10, 10 * S);
-        assertEquals(2, holder.held(0), "the static share");
+        assertEquals(2, holder.available(0), "the static share");
         holder.granted("n1", 30, S);
         holder.granted("n1", 50, 0); // an older question's answer, come late
         holder.granted("n2", 5, 2 * S);
-        assertEquals(37, holder.held(3 * S));
-        assertEquals(7, holder.held(11 * S), "the lease of n1 ends before it ends at n1");
-        assertEquals(2, holder.held(12 * S));
+        assertEquals(37, holder.available(3 * S));
+        assertEquals(7, holder.available(11 * S), "the lease of n1 ends before it ends at n1");
+        assertEquals(2, holder.available(12 * S));
     }
 
     /**
@@ -66,11 +66,11 @@
         long lease = 4 * S;
         double[] memberRate = new double[members];
         long[] memberOffset = new long[members];
-        LeaseBook[] books = new LeaseBook[members];
+        LeaseAllocator[] books = new LeaseAllocator[members];
         for (int m = 0; m < members; m++) {
             memberRate[m] = 0.995 + random.nextDouble() * 0.01;
             memberOffset[m] = random.nextLong(100 * S);
-            books[m] = new LeaseBook(limit * (1 - staticPart) / members, lease, memberOffset[m]);
+            books[m] = new LeaseAllocator(limit * (1 - staticPart) / members, lease, memberOffset[m]);
         }
         double[] rate = new double[poolers];
         long[] offset = new long[poolers];
@@ -86,7 +86,7 @@
             int p = random.nextInt(poolers);
             int m = random.nextInt(members);
             if (random.nextInt(400) == 0) {
-                books[m] = new LeaseBook(limit * (1 - staticPart) / members, lease,
+                books[m] = new LeaseAllocator(limit * (1 - staticPart) / members, lease,
                         memberOffset[m] + (long) (now * memberRate[m]));
             }
             if (random.nextInt(400) == 0) {
@@ -110,7 +110,7 @@
                 }
                 if (word.question()) {
                     long at = memberOffset[word.member()] + (long) (now * memberRate[word.member()]);
-                    double granted = books[word.member()].ask("p" + word.pooler(), word.amount(), at);
+                    double granted = books[word.member()].acquire("p" + word.pooler(), word.amount(), at);
                     underWay.add(new Word(false, word.pooler(), word.member(), granted, word.askedNs(),
                             now + random.nextLong(S), word.to()));
                 } else {
@@ -119,7 +119,7 @@
             }
             double used = 0;
             for (int i = 0; i < poolers; i++) {
-                used += holders[i].held(offset[i] + (long) (now * rate[i]));
+                used += holders[i].available(offset[i] + (long) (now * rate[i]));
             }
             assertTrue(used <= limit + 1e-6, used + " of " + limit + " in use at " + now);
         }
--- a/flight/src/main/java/holdmux/flight/Ipc.java
+++ b/flight/src/main/java/holdmux/flight/ArrowIpc.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.InvalidProtocolBufferException;
 import com.google.protobuf.WireFormat;
-import holdmux.core.Cell;
+import holdmux.core.ScalarResult;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -33,23 +33,23 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /** Arrow's IPC format as Flight's messages, for the few tables that are made or read here rather than passed on. */
-final class Ipc {
+final class ArrowIpc {
     /** Bodies are padded to this, as the format asks. */
     private static final int ALIGNMENT = 8;
 
     private final BufferAllocator allocator;
 
-    Ipc(BufferAllocator allocator) {
+    ArrowIpc(BufferAllocator allocator) {
         this.allocator = allocator;
     }
 
     /** The schema of a value that PostgreSQL gave. */
-    static Schema cellSchema(String column) {
+    static Schema scalarSchema(String column) {
         return new Schema(List.of(Field.nullable(column, ArrowType.Binary.INSTANCE)));
     }
 
     /** A schema as the message that begins a stream. */
-    static byte[] frame(Schema schema) {
+    static byte[] toMessage(Schema schema) {
         return FlightData.newBuilder().setDataHeader(ByteString.copyFrom(MessageSerializer.serializeMetadata(schema)))
                 .build().toByteArray();
     }
@@ -66,7 +66,7 @@
     }
 
     /** What a root holds, as one batch. */
-    static byte[] frame(VectorSchemaRoot root) {
+    static byte[] toMessage(VectorSchemaRoot root) {
         try (ArrowRecordBatch batch = new VectorUnloader(root).getRecordBatch()) {
             ByteArrayOutputStream body = new ByteArrayOutputStream((int) batch.computeBodyLength());
             for (ArrowBuf buffer : batch.getBuffers()) {
@@ -81,29 +81,29 @@
     }
 
     /** A cell as a table of one binary column; takes all of it in. */
-    List<byte[]> table(Cell cell) throws IOException {
-        Schema schema = cellSchema(cell.column());
+    List<byte[]> toTable(ScalarResult scalar) throws IOException {
+        Schema schema = scalarSchema(scalar.column());
         try (VectorSchemaRoot root = VectorSchemaRoot.create(schema, allocator)) {
             VarBinaryVector vector = (VarBinaryVector) root.getVector(0);
-            if (cell.length() == Cell.NULL) {
+            if (scalar.length() == ScalarResult.NULL) {
                 vector.allocateNew(1);
                 vector.setNull(0);
             } else {
-                ByteArrayOutputStream bytes = new ByteArrayOutputStream(cell.length());
-                cell.writeTo(bytes);
+                ByteArrayOutputStream bytes = new ByteArrayOutputStream(scalar.length());
+                scalar.writeTo(bytes);
                 vector.setSafe(0, bytes.toByteArray());
             }
             root.setRowCount(1);
-            return List.of(frame(schema), frame(root));
+            return List.of(toMessage(schema), toMessage(root));
         }
     }
 
     /** What stands in front of a message's body, and how long that is. */
-    private record Head(Message header, long bodyBytes) {}
+    private record ParsedMessage(Message header, long bodyLength) {}
 
     /** Reads a message but for its body, which is not copied; null for one of metadata alone. */
-    private static Head head(byte[] frame) throws IOException {
-        CodedInputStream in = CodedInputStream.newInstance(frame);
+    private static ParsedMessage parseHeader(byte[] message) throws IOException {
+        CodedInputStream in = CodedInputStream.newInstance(message);
         byte[] header = {};
         long body = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
@@ -117,7 +117,7 @@
             }
         }
         return header.length == 0 ? null
-                : new Head(Message.getRootAsMessage(ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN)), body);
+                : new ParsedMessage(Message.getRootAsMessage(ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN)), body);
     }
 
     /**
@@ -127,21 +127,21 @@
      * @return what it begins with, of {@link MessageHeader}; NONE for metadata alone
      * @throws IOException if it is spoilt
      */
-    static byte check(byte[] frame) throws IOException {
+    static byte validate(byte[] flightData) throws IOException {
         try {
-            Head head = head(frame);
-            if (head == null) {
+            ParsedMessage parsed = parseHeader(flightData);
+            if (parsed == null) {
                 return MessageHeader.NONE;
             }
-            Message message = head.header();
-            boolean good = message.bodyLength() == head.bodyBytes() && switch (message.headerType()) {
-                case MessageHeader.Schema -> head.bodyBytes() == 0;
-                case MessageHeader.RecordBatch -> within((RecordBatch) message.header(new RecordBatch()), head);
+            Message message = parsed.header();
+            boolean valid = message.bodyLength() == parsed.bodyLength() && switch (message.headerType()) {
+                case MessageHeader.Schema -> parsed.bodyLength() == 0;
+                case MessageHeader.RecordBatch -> buffersWithinBody((RecordBatch) message.header(new RecordBatch()), parsed);
                 case MessageHeader.DictionaryBatch ->
-                        within(((DictionaryBatch) message.header(new DictionaryBatch())).data(), head);
+                        buffersWithinBody(((DictionaryBatch) message.header(new DictionaryBatch())).data(), parsed);
                 default -> false;
             };
-            if (!good) {
+            if (!valid) {
                 throw new IOException("a message that is not whole");
             }
             return message.headerType();
@@ -150,40 +150,40 @@
         }
     }
 
-    private static boolean within(RecordBatch batch, Head head) {
-        boolean good = batch.length() >= 0;
-        for (int i = 0; good && i < batch.buffersLength(); i++) {
+    private static boolean buffersWithinBody(RecordBatch batch, ParsedMessage parsed) {
+        boolean valid = batch.length() >= 0;
+        for (int i = 0; valid && i < batch.buffersLength(); i++) {
             long offset = batch.buffers(i).offset();
             long length = batch.buffers(i).length();
-            good = offset >= 0 && length >= 0 && offset <= head.bodyBytes() - length;
+            valid = offset >= 0 && length >= 0 && offset <= parsed.bodyLength() - length;
         }
-        return good;
+        return valid;
     }
 
-    private static FlightData parse(byte[] frame) throws IOException {
+    private static FlightData parseFlightData(byte[] message) throws IOException {
         try {
-            return FlightData.parseFrom(frame);
+            return FlightData.parseFrom(message);
         } catch (InvalidProtocolBufferException e) {
             throw new IOException("a message that is no FlightData", e);
         }
     }
 
     /** How a table's columns are named and typed, from the message that begins it. */
-    static Schema schema(byte[] frame) throws IOException {
+    static Schema readSchema(byte[] message) throws IOException {
         try {
-            Head head = head(frame);
-            if (head == null) {
+            ParsedMessage parsed = parseHeader(message);
+            if (parsed == null) {
                 throw new IOException("a stream that begins with no schema");
             }
-            return MessageSerializer.deserializeSchema(head.header());
+            return MessageSerializer.deserializeSchema(parsed.header());
         } catch (RuntimeException e) {
             throw new IOException("a stream that does not begin with a schema", e);
         }
     }
 
     /** What is done with each batch of a table that is read here. */
-    interface Rows {
-        void batch(VectorSchemaRoot root) throws IOException;
+    interface BatchConsumer {
+        void accept(VectorSchemaRoot root) throws IOException;
     }
 
     /**
@@ -192,24 +192,24 @@
      *
      * @throws IOException if it is not a table, in any way
      */
-    void read(List<byte[]> frames, Rows rows) throws IOException {
+    void readBatches(List<byte[]> messages, BatchConsumer consumer) throws IOException {
         List<ArrowBuf> bodies = new ArrayList<>();
         VectorSchemaRoot root = null;
         try {
-            root = VectorSchemaRoot.create(new Schema(indices(schema(frames.get(0)).getFields())), allocator);
+            root = VectorSchemaRoot.create(new Schema(withIndexTypes(readSchema(messages.get(0)).getFields())), allocator);
             VectorLoader loader = new VectorLoader(root);
-            for (byte[] frame : frames.subList(1, frames.size())) {
-                if (check(frame) != MessageHeader.RecordBatch) {
+            for (byte[] message : messages.subList(1, messages.size())) {
+                if (validate(message) != MessageHeader.RecordBatch) {
                     continue;
                 }
-                byte[] bytes = parse(frame).getDataBody().toByteArray();
+                byte[] bytes = parseFlightData(message).getDataBody().toByteArray();
                 ArrowBuf body = allocator.buffer(bytes.length);
                 bodies.add(body);
                 body.writeBytes(bytes);
-                try (ArrowRecordBatch batch = MessageSerializer.deserializeRecordBatch(head(frame).header(), body)) {
+                try (ArrowRecordBatch batch = MessageSerializer.deserializeRecordBatch(parseHeader(message).header(), body)) {
                     loader.load(batch);
                 }
-                rows.batch(root);
+                consumer.accept(root);
             }
         } catch (RuntimeException e) {
             throw new IOException("a table that cannot be read", e);
@@ -226,35 +226,35 @@
     }
 
     /** Fields as their batches hold them: of one by dictionary that is its index, not what the schema names. */
-    private static List<Field> indices(List<Field> fields) {
+    private static List<Field> withIndexTypes(List<Field> fields) {
         return fields.stream().map(field -> field.getDictionary() == null
-                ? new Field(field.getName(), field.getFieldType(), indices(field.getChildren()))
+                ? new Field(field.getName(), field.getFieldType(), withIndexTypes(field.getChildren()))
                 : new Field(field.getName(), new FieldType(field.isNullable(), field.getDictionary().getIndexType(), null),
                         null)).toList();
     }
 
     /** How many rows a table has. */
-    long rows(List<byte[]> frames) throws IOException {
+    long countRows(List<byte[]> messages) throws IOException {
         long[] count = new long[1];
-        read(frames, root -> count[0] += root.getRowCount());
+        readBatches(messages, root -> count[0] += root.getRowCount());
         return count[0];
     }
 
     /** A table's one value, or null where it is not one row of one column of text or bytes. */
-    Cell cell(List<byte[]> frames) throws IOException {
+    ScalarResult readScalar(List<byte[]> messages) throws IOException {
         List<Object> values = new ArrayList<>();
         String[] column = new String[1];
-        boolean[] fits = {true};
-        read(frames, root -> {
-            fits[0] &= root.getFieldVectors().size() == 1 && root.getRowCount() + values.size() <= 1;
-            for (int row = 0; fits[0] && row < root.getRowCount(); row++) {
+        boolean[] isScalar = {true};
+        readBatches(messages, root -> {
+            isScalar[0] &= root.getFieldVectors().size() == 1 && root.getRowCount() + values.size() <= 1;
+            for (int row = 0; isScalar[0] && row < root.getRowCount(); row++) {
                 FieldVector vector = root.getVector(0);
                 column[0] = vector.getName();
                 Object value = vector.isNull(row) ? null : vector.getObject(row);
-                fits[0] = value == null || value instanceof byte[] || value instanceof org.apache.arrow.vector.util.Text;
+                isScalar[0] = value == null || value instanceof byte[] || value instanceof org.apache.arrow.vector.util.Text;
                 values.add(value instanceof org.apache.arrow.vector.util.Text text ? text.copyBytes() : value);
             }
         });
-        return fits[0] && values.size() == 1 ? new HeldCell(column[0], (byte[]) values.get(0)) : null;
+        return isScalar[0] && values.size() == 1 ? new BufferedScalarResult(column[0], (byte[]) values.get(0)) : null;
     }
 }
--- a/flight/src/main/java/holdmux/flight/HeldCell.java
+++ b/flight/src/main/java/holdmux/flight/BufferedScalarResult.java
@@ -1,11 +1,11 @@
 package holdmux.flight;
 
-import holdmux.core.Cell;
+import holdmux.core.ScalarResult;
 import java.io.IOException;
 import java.io.OutputStream;
 
 /** A value that was read whole from a table; {@code bytes} is null for null. */
-record HeldCell(String column, byte[] bytes) implements Cell {
+record BufferedScalarResult(String column, byte[] bytes) implements ScalarResult {
     @Override
     public int length() {
         return bytes == null ? NULL : bytes.length;
--- a/flight/src/main/java/holdmux/flight/Caller.java
+++ b/flight/src/main/java/holdmux/flight/CallContext.java
@@ -7,10 +7,10 @@
 import java.util.function.IntConsumer;
 
 /** Who made a call: its connection, its headers, how long it waits (null for ever), and the means to cut it off. */
-record Caller(Object connection, Metadata headers, Deadline deadline, Connections connections, IntConsumer threshold) {
-    static final Context.Key<Caller> KEY = Context.key("caller");
+record CallContext(Object connection, Metadata headers, Deadline deadline, ClientConnections connections, IntConsumer onReadyThreshold) {
+    static final Context.Key<CallContext> KEY = Context.key("caller");
 
-    static Caller now() {
+    static CallContext current() {
         return KEY.get();
     }
 
@@ -20,17 +20,17 @@
     }
 
     /** How long the caller's gRPC deadline leaves. */
-    long leftNs() {
+    long remainingNs() {
         return deadline == null ? Long.MAX_VALUE : deadline.timeRemaining(TimeUnit.NANOSECONDS);
     }
 
     /** From now on the call takes more while no more than this many bytes wait to be written on it. */
-    void readyBelow(int bytes) {
-        threshold.accept(bytes);
+    void setOnReadyThreshold(int bytes) {
+        onReadyThreshold.accept(bytes);
     }
 
     /** Ends the connection at once: a status would queue up behind what its client does not take. */
-    void cutOff() {
-        connections.cutOff(connection);
+    void abortConnection() {
+        connections.abort(connection);
     }
 }
--- a/flight/src/main/java/holdmux/flight/CallGate.java
+++ b/flight/src/main/java/holdmux/flight/CallInterceptor.java
@@ -16,29 +16,29 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Where each call comes in: counted, refused at once at the cap, and given its {@link Caller}. */
-final class CallGate implements ServerInterceptor {
-    private final int most;
+/** Where each call comes in: counted, refused at once at the cap, and given its {@link CallContext}. */
+final class CallInterceptor implements ServerInterceptor {
+    private final int maxCalls;
     private final Counters counters;
-    private final Connections connections;
-    private final AtomicInteger open = new AtomicInteger();
+    private final ClientConnections connections;
+    private final AtomicInteger openCalls = new AtomicInteger();
 
-    CallGate(int most, Counters counters, Connections connections) {
+    CallInterceptor(int maxCalls, Counters counters, ClientConnections connections) {
         this.connections = connections;
-        this.most = most;
+        this.maxCalls = maxCalls;
         this.counters = counters;
     }
 
     /** Calls that are not over. */
-    int open() {
-        return open.get();
+    int openCalls() {
+        return openCalls.get();
     }
 
     @Override
     public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
             ServerCallHandler<Q, A> next) {
-        if (open.incrementAndGet() > most) {
-            open.decrementAndGet();
+        if (openCalls.incrementAndGet() > maxCalls) {
+            openCalls.decrementAndGet();
             counters.count(Counter.CALLS_TURNED_AWAY);
             StatusRuntimeException refusal = Statuses.refused("too many calls at once", 0);
             Metadata trailers = refusal.getTrailers();
@@ -46,32 +46,32 @@
             return new ServerCall.Listener<>() { };
         }
         counters.count(Counter.CALLS);
-        AtomicBoolean over = new AtomicBoolean();
-        Runnable end = () -> {
-            if (over.compareAndSet(false, true)) {
-                open.decrementAndGet();
+        AtomicBoolean ended = new AtomicBoolean();
+        Runnable endCall = () -> {
+            if (ended.compareAndSet(false, true)) {
+                openCalls.decrementAndGet();
             }
         };
         try {
             Context context = Context.current();
             Object connection = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
-            Context with = context.withValue(Caller.KEY,
-                    new Caller(connection, headers, context.getDeadline(), connections, call::setOnReadyThreshold));
-            return new SimpleForwardingServerCallListener<>(Contexts.interceptCall(with, call, headers, next)) {
+            Context callContext = context.withValue(CallContext.KEY,
+                    new CallContext(connection, headers, context.getDeadline(), connections, call::setOnReadyThreshold));
+            return new SimpleForwardingServerCallListener<>(Contexts.interceptCall(callContext, call, headers, next)) {
                 @Override
                 public void onComplete() {
-                    end.run();
+                    endCall.run();
                     super.onComplete();
                 }
 
                 @Override
                 public void onCancel() {
-                    end.run();
+                    endCall.run();
                     super.onCancel();
                 }
             };
         } catch (RuntimeException e) {
-            end.run();
+            endCall.run();
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("a Flight call failed here", e);
             call.close(Status.INTERNAL, new Metadata());
--- a/flight/src/main/java/holdmux/flight/CappedServerChannel.java
+++ b/flight/src/main/java/holdmux/flight/CappedServerChannel.java
@@ -6,27 +6,27 @@
 
 /** Accepts no more connections than a cap; one more is closed at once, before it costs a handshake. */
 final class CappedServerChannel extends NioServerSocketChannel {
-    private final Connections connections;
-    private final Runnable turnedAway;
+    private final ClientConnections connections;
+    private final Runnable onRejected;
 
-    CappedServerChannel(Connections connections, Runnable turnedAway) {
+    CappedServerChannel(ClientConnections connections, Runnable onRejected) {
         this.connections = connections;
-        this.turnedAway = turnedAway;
+        this.onRejected = onRejected;
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        int had = accepted.size();
-        int got = super.doReadMessages(accepted);
-        if (got > 0) {
-            Channel channel = (Channel) accepted.get(had);
-            if (!connections.admit(channel)) {
-                accepted.remove(had);
+        int sizeBefore = accepted.size();
+        int acceptedCount = super.doReadMessages(accepted);
+        if (acceptedCount > 0) {
+            Channel channel = (Channel) accepted.get(sizeBefore);
+            if (!connections.tryAdd(channel)) {
+                accepted.remove(sizeBefore);
                 channel.unsafe().closeForcibly();
-                turnedAway.run();
+                onRejected.run();
                 return 0;
             }
         }
-        return got;
+        return acceptedCount;
     }
 }
--- a/flight/src/main/java/holdmux/flight/Catalog.java
+++ b/flight/src/main/java/holdmux/flight/Catalog.java
@@ -27,9 +27,9 @@
 /** What tools ask before they send statements: what this front offers, and the one table there is. */
 final class Catalog {
     private static final String CATALOG = "crm", SCHEMA = "public", TABLE = "facts", TYPE = "TABLE";
-    private static final Schema FACTS = new Schema(List.of(Field.notNullable("code", ArrowType.Utf8.INSTANCE),
+    private static final Schema FACTS_SCHEMA = new Schema(List.of(Field.notNullable("code", ArrowType.Utf8.INSTANCE),
             Field.nullable("data", ArrowType.Binary.INSTANCE)));
-    static final Schema STATS = new Schema(List.of(Field.notNullable("counter", ArrowType.Utf8.INSTANCE),
+    static final Schema STATS_SCHEMA = new Schema(List.of(Field.notNullable("counter", ArrowType.Utf8.INSTANCE),
             Field.notNullable("value", ArrowType.Utf8.INSTANCE)));
 
     private final BufferAllocator allocator;
@@ -44,73 +44,73 @@
                 .withFlightSqlServerBulkIngestion(false).withFlightSqlServerBulkIngestionTransaction(false)
                 .withSqlTransactionsSupported(false).withSqlSavepointsSupported(false)
                 .withSqlBatchUpdatesSupported(false).withSqlNamedParametersSupported(false)
-                .withSqlMaxStatementLength(FlightLimits.STATEMENT_BYTES).withSqlIdentifierQuoteChar("\"")
+                .withSqlMaxStatementLength(FlightLimits.MAX_STATEMENT_BYTES).withSqlIdentifierQuoteChar("\"")
                 .withSqlSearchStringEscape("\\").withSqlDdlCatalog(false).withSqlDdlSchema(false).withSqlDdlTable(false);
     }
 
-    List<byte[]> sqlInfo(CommandGetSqlInfo asked) {
-        Frames frames = new Frames();
-        info.send(asked.getInfoList(), frames);
-        return frames.made;
+    List<byte[]> sqlInfo(CommandGetSqlInfo command) {
+        MessageCollector collector = new MessageCollector();
+        info.send(command.getInfoList(), collector);
+        return collector.messages;
     }
 
     List<byte[]> catalogs() {
-        return table(FlightSqlProducer.Schemas.GET_CATALOGS_SCHEMA, List.of(List.of(CATALOG)));
+        return toMessages(FlightSqlProducer.Schemas.GET_CATALOGS_SCHEMA, List.of(List.of(CATALOG)));
     }
 
-    List<byte[]> schemas(CommandGetDbSchemas asked) {
-        boolean fits = (!asked.hasCatalog() || asked.getCatalog().equals(CATALOG))
-                && (!asked.hasDbSchemaFilterPattern() || like(asked.getDbSchemaFilterPattern(), SCHEMA));
-        return table(FlightSqlProducer.Schemas.GET_SCHEMAS_SCHEMA, fits ? List.of(List.of(CATALOG, SCHEMA)) : List.of());
+    List<byte[]> schemas(CommandGetDbSchemas command) {
+        boolean matches = (!command.hasCatalog() || command.getCatalog().equals(CATALOG))
+                && (!command.hasDbSchemaFilterPattern() || matchesLike(command.getDbSchemaFilterPattern(), SCHEMA));
+        return toMessages(FlightSqlProducer.Schemas.GET_SCHEMAS_SCHEMA, matches ? List.of(List.of(CATALOG, SCHEMA)) : List.of());
     }
 
-    List<byte[]> tables(CommandGetTables asked) {
-        boolean fits = (!asked.hasCatalog() || asked.getCatalog().equals(CATALOG))
-                && (!asked.hasDbSchemaFilterPattern() || like(asked.getDbSchemaFilterPattern(), SCHEMA))
-                && (!asked.hasTableNameFilterPattern() || like(asked.getTableNameFilterPattern(), TABLE))
-                && (asked.getTableTypesCount() == 0 || asked.getTableTypesList().contains(TYPE));
+    List<byte[]> tables(CommandGetTables command) {
+        boolean matches = (!command.hasCatalog() || command.getCatalog().equals(CATALOG))
+                && (!command.hasDbSchemaFilterPattern() || matchesLike(command.getDbSchemaFilterPattern(), SCHEMA))
+                && (!command.hasTableNameFilterPattern() || matchesLike(command.getTableNameFilterPattern(), TABLE))
+                && (command.getTableTypesCount() == 0 || command.getTableTypesList().contains(TYPE));
         List<Object> row = new ArrayList<>(List.of(CATALOG, SCHEMA, TABLE, TYPE));
-        if (asked.getIncludeSchema()) {
-            row.add(Ipc.encapsulated(FACTS).toByteArray());
+        if (command.getIncludeSchema()) {
+            row.add(ArrowIpc.encapsulated(FACTS_SCHEMA).toByteArray());
         }
-        return table(tablesSchema(asked), fits ? List.of(row) : List.of());
+        return toMessages(tablesSchema(command), matches ? List.of(row) : List.of());
     }
 
-    static Schema tablesSchema(CommandGetTables asked) {
-        return asked.getIncludeSchema() ? FlightSqlProducer.Schemas.GET_TABLES_SCHEMA
+    static Schema tablesSchema(CommandGetTables command) {
+        return command.getIncludeSchema() ? FlightSqlProducer.Schemas.GET_TABLES_SCHEMA
                 : FlightSqlProducer.Schemas.GET_TABLES_SCHEMA_NO_SCHEMA;
     }
 
     List<byte[]> tableTypes() {
-        return table(FlightSqlProducer.Schemas.GET_TABLE_TYPES_SCHEMA, List.of(List.of(TYPE)));
+        return toMessages(FlightSqlProducer.Schemas.GET_TABLE_TYPES_SCHEMA, List.of(List.of(TYPE)));
     }
 
     /** A table without rows, of what there is none of here: keys, references. */
-    List<byte[]> none(Schema schema) {
-        return table(schema, List.of());
+    List<byte[]> emptyTable(Schema schema) {
+        return toMessages(schema, List.of());
     }
 
     /** The counters, a row each. */
     List<byte[]> stats(Counters counters) {
         List<List<?>> rows = new ArrayList<>();
-        counters.all().forEach((name, value) -> rows.add(List.of(name, value)));
-        return table(STATS, rows);
+        counters.snapshot().forEach((name, value) -> rows.add(List.of(name, value)));
+        return toMessages(STATS_SCHEMA, rows);
     }
 
-    private List<byte[]> table(Schema schema, List<? extends List<?>> rows) {
+    private List<byte[]> toMessages(Schema schema, List<? extends List<?>> rows) {
         try (VectorSchemaRoot root = VectorSchemaRoot.create(schema, allocator)) {
             root.allocateNew();
             for (int row = 0; row < rows.size(); row++) {
                 for (int column = 0; column < rows.get(row).size(); column++) {
-                    put(root.getVector(column), row, rows.get(row).get(column));
+                    setValue(root.getVector(column), row, rows.get(row).get(column));
                 }
             }
             root.setRowCount(rows.size());
-            return List.of(Ipc.frame(schema), Ipc.frame(root));
+            return List.of(ArrowIpc.toMessage(schema), ArrowIpc.toMessage(root));
         }
     }
 
-    private static void put(FieldVector vector, int row, Object value) {
+    private static void setValue(FieldVector vector, int row, Object value) {
         if (value instanceof byte[] bytes) {
             ((VarBinaryVector) vector).setSafe(row, bytes);
         } else {
@@ -119,7 +119,7 @@
     }
 
     /** SQL's LIKE, of names as short as these. */
-    private static boolean like(String pattern, String name) {
+    private static boolean matchesLike(String pattern, String name) {
         StringBuilder regex = new StringBuilder();
         for (char c : pattern.toCharArray()) {
             regex.append(c == '%' ? ".*" : c == '_' ? "." : Pattern.quote(String.valueOf(c)));
@@ -128,19 +128,19 @@
     }
 
     /** Takes what Arrow's own builder sends, as messages. */
-    private static final class Frames implements ServerStreamListener {
-        private final List<byte[]> made = new ArrayList<>();
+    private static final class MessageCollector implements ServerStreamListener {
+        private final List<byte[]> messages = new ArrayList<>();
         private VectorSchemaRoot root;
 
         @Override
-        public void start(VectorSchemaRoot from, DictionaryProvider dictionaries, IpcOption option) {
-            root = from;
-            made.add(Ipc.frame(from.getSchema()));
+        public void start(VectorSchemaRoot batchRoot, DictionaryProvider dictionaries, IpcOption option) {
+            root = batchRoot;
+            messages.add(ArrowIpc.toMessage(batchRoot.getSchema()));
         }
 
         @Override
         public void putNext() {
-            made.add(Ipc.frame(root));
+            messages.add(ArrowIpc.toMessage(root));
         }
 
         @Override
--- a/flight/src/main/java/holdmux/flight/Connections.java
+++ b/flight/src/main/java/holdmux/flight/ClientConnections.java
@@ -7,25 +7,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The client connections there are, never more than a cap, and the means to cut one off. */
-final class Connections {
-    private final int most;
+final class ClientConnections {
+    private final int maxConnections;
     private final AtomicInteger count = new AtomicInteger();
-    private final Map<Object, Channel> byClient = new ConcurrentHashMap<>();
+    private final Map<Object, Channel> byAddress = new ConcurrentHashMap<>();
 
-    Connections(int most) {
-        this.most = most;
+    ClientConnections(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
     /** Takes in one more; false at the cap. */
-    boolean admit(Channel channel) {
-        if (count.incrementAndGet() > most) {
+    boolean tryAdd(Channel channel) {
+        if (count.incrementAndGet() > maxConnections) {
             count.decrementAndGet();
             return false;
         }
-        Object client = channel.remoteAddress();
-        byClient.put(client, channel);
+        Object address = channel.remoteAddress();
+        byAddress.put(address, channel);
         channel.closeFuture().addListener(closed -> {
-            byClient.remove(client, channel);
+            byAddress.remove(address, channel);
             count.decrementAndGet();
         });
         return true;
@@ -36,8 +36,8 @@
     }
 
     /** Ends a client's connection at once, whatever waits to be written on it. */
-    void cutOff(Object client) {
-        Channel channel = byClient.get(client);
+    void abort(Object address) {
+        Channel channel = byAddress.get(address);
         if (channel != null) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             // past the pipeline, whose HTTP/2 would wait for open streams to end
--- a/flight/src/main/java/holdmux/flight/UpdateReply.java
+++ b/flight/src/main/java/holdmux/flight/DoPutResponder.java
@@ -1,34 +1,34 @@
 package holdmux.flight;
 
-import holdmux.core.Client;
-import holdmux.core.Updated;
-import holdmux.core.Value;
+import holdmux.core.Responder;
+import holdmux.core.UpdateResult;
+import holdmux.core.QueryResult;
 import io.grpc.stub.ServerCallStreamObserver;
 import java.io.IOException;
 import org.apache.arrow.flight.impl.Flight.PutResult;
 import org.apache.arrow.flight.sql.impl.FlightSql.DoPutUpdateResult;
 
 /** The client's side of one request that is put (DoPut): how many rows it touched, or a status. */
-final class UpdateReply implements Client {
+final class DoPutResponder implements Responder {
     private final ServerCallStreamObserver<PutResult> out;
-    private final Ipc ipc;
+    private final ArrowIpc ipc;
 
-    UpdateReply(ServerCallStreamObserver<PutResult> out, Ipc ipc) {
+    DoPutResponder(ServerCallStreamObserver<PutResult> out, ArrowIpc ipc) {
         this.out = out;
         this.ipc = ipc;
     }
 
     @Override
-    public Value.Form form() {
-        return Value.Form.TABLE;
+    public QueryResult.Shape resultShape() {
+        return QueryResult.Shape.TABLE;
     }
 
     @Override
-    public void serve(Value value) throws IOException {
+    public void serve(QueryResult result) throws IOException {
         long rows;
         try {
-            rows = value instanceof Updated updated ? updated.rows()
-                    : value instanceof Table table ? ipc.rows(table.frames()) : 1;
+            rows = result instanceof UpdateResult updated ? updated.rows()
+                    : result instanceof TableResult table ? ipc.countRows(table.messages()) : 1;
         } catch (IOException e) {
             out.onError(Statuses.failed("the answer cannot be read; the request has run"));
             throw e;
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public void refuse(long waitNs) {
-        out.onError(Statuses.refused("no server can take this in time", waitNs));
+    public void refuse(long retryAfterNs) {
+        out.onError(Statuses.refused("no server can take this in time", retryAfterNs));
     }
 
     @Override
--- a/flight/src/main/java/holdmux/flight/FlightConnection.java
+++ b/flight/src/main/java/holdmux/flight/FlightConnection.java
@@ -21,14 +21,14 @@
     private final ManagedChannel channel;
 
     /** {@code mostBytes}: the longest message taken. */
-    FlightConnection(long store, InetSocketAddress address, EventLoopGroup loops, long connectTimeoutNs, int mostBytes) {
-        this.store = store;
+    FlightConnection(long serverId, InetSocketAddress address, EventLoopGroup eventLoops, long connectTimeoutNs, int maxMessageBytes) {
+        this.store = serverId;
         this.address = address;
         channel = NettyChannelBuilder.forAddress(address).usePlaintext().disableRetry().directExecutor()
-                .eventLoopGroup(loops).channelType(NioSocketChannel.class)
+                .eventLoopGroup(eventLoops).channelType(NioSocketChannel.class)
                 .withOption(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNs / MS))
-                .maxInboundMessageSize(mostBytes).maxInboundMetadataSize(FlightLimits.METADATA_BYTES)
-                .flowControlWindow(FlightLimits.WINDOW_BYTES).build();
+                .maxInboundMessageSize(maxMessageBytes).maxInboundMetadataSize(FlightLimits.MAX_METADATA_BYTES)
+                .flowControlWindow(FlightLimits.FLOW_CONTROL_WINDOW_BYTES).build();
     }
 
     ManagedChannel channel() {
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public long store() {
+    public long serverId() {
         return store;
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public boolean clean() {
+    public boolean isReusable() {
         return channel.getState(false) == ConnectivityState.READY;
     }
 
--- a/flight/src/main/java/holdmux/flight/FlightPart.java
+++ b/flight/src/main/java/holdmux/flight/FlightExtension.java
@@ -1,7 +1,7 @@
 package holdmux.flight;
 
 import holdmux.core.Front;
-import holdmux.core.Part;
+import holdmux.core.Extension;
 import holdmux.core.Services;
 import holdmux.core.Upstream;
 import io.netty.channel.EventLoopGroup;
@@ -14,31 +14,31 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /** Arrow Flight SQL beside PostgreSQL: a front where an address is given, an upstream for the kinds that speak it. */
-public final class FlightPart implements Part, AutoCloseable {
+public final class FlightExtension implements Extension, AutoCloseable {
     /** On each side: loops only move bytes, lives have workers. */
-    private static final int LOOPS = 2;
+    private static final int EVENT_LOOP_THREADS = 2;
 
-    private final InetSocketAddress listen;
+    private final InetSocketAddress listenAddress;
     private final Set<String> kinds;
     private FlightLimits limits;
     private BufferAllocator allocator;
     /** The clients' side and the servers', apart, so that a table does not come and go on one thread. */
-    private EventLoopGroup clientLoops, serverLoops;
-    private Budget budget;
+    private EventLoopGroup clientEventLoops, serverEventLoops;
+    private MemoryBudget budget;
 
     /** {@code listen}: null for no front; {@code kinds}: the servers' kinds that speak Flight SQL, as discovery names them. */
-    public FlightPart(InetSocketAddress listen, Set<String> kinds) {
-        this.listen = listen;
+    public FlightExtension(InetSocketAddress listenAddress, Set<String> kinds) {
+        this.listenAddress = listenAddress;
         this.kinds = Set.copyOf(kinds);
     }
 
-    private synchronized void begin(Services services) {
+    private synchronized void initialize(Services services) {
         if (limits == null) {
             limits = FlightLimits.of(services.config());
-            allocator = new RootAllocator(limits.allocatorBytes());
-            clientLoops = new NioEventLoopGroup(LOOPS, new DefaultThreadFactory("flight-clients", true));
-            serverLoops = new NioEventLoopGroup(LOOPS, new DefaultThreadFactory("flight-servers", true));
-            budget = new Budget(limits.streamBytes());
+            allocator = new RootAllocator(limits.maxAllocatorBytes());
+            clientEventLoops = new NioEventLoopGroup(EVENT_LOOP_THREADS, new DefaultThreadFactory("flight-clients", true));
+            serverEventLoops = new NioEventLoopGroup(EVENT_LOOP_THREADS, new DefaultThreadFactory("flight-servers", true));
+            budget = new MemoryBudget(limits.maxStreamBytes());
         }
     }
 
@@ -49,32 +49,32 @@
 
     @Override
     public Upstream upstream(Services services) {
-        begin(services);
-        return new FlightUpstream(services, limits, budget, new Ipc(allocator), serverLoops);
+        initialize(services);
+        return new FlightUpstream(services, limits, budget, new ArrowIpc(allocator), serverEventLoops);
     }
 
     @Override
     public Front front(Services services) {
-        if (listen == null) {
+        if (listenAddress == null) {
             return null;
         }
-        begin(services);
-        String version = FlightPart.class.getPackage().getImplementationVersion();
-        return new FlightFront(listen, services, limits, new Ipc(allocator),
-                new Catalog(allocator, version == null ? "work tree" : version), clientLoops);
+        initialize(services);
+        String version = FlightExtension.class.getPackage().getImplementationVersion();
+        return new FlightFront(listenAddress, services, limits, new ArrowIpc(allocator),
+                new Catalog(allocator, version == null ? "work tree" : version), clientEventLoops);
     }
 
     /** Bytes of tables on their way now. */
     public long streamBytes() {
-        return budget == null ? 0 : budget.held();
+        return budget == null ? 0 : budget.reservedBytes();
     }
 
     /** Ends its threads and gives back Arrow's memory; complains if some of that is still in use. */
     @Override
     public synchronized void close() {
         if (limits != null) {
-            clientLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-            serverLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+            clientEventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+            serverEventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
             allocator.close();
         }
     }
--- a/flight/src/main/java/holdmux/flight/FlightFront.java
+++ b/flight/src/main/java/holdmux/flight/FlightFront.java
@@ -22,70 +22,70 @@
 
 /** The Arrow Flight SQL front: its listener, its calls and its end. */
 final class FlightFront implements Front {
-    private static final int KEY_BYTES = 32, BACKLOG = 512;
+    private static final int TICKET_KEY_BYTES = 32, LISTEN_BACKLOG = 512;
     /** A connection without a call is closed after this: tools keep theirs for a work session at most. */
-    private static final long IDLE_MINUTES = 30;
+    private static final long MAX_IDLE_MINUTES = 30;
     /** Clients may ask this often whether we are there; more is taken for a fault of theirs. */
-    private static final long KEEP_ALIVE_S = 10;
+    private static final long MIN_KEEP_ALIVE_S = 10;
 
     private final InetSocketAddress address;
     private final Services services;
     private final FlightLimits limits;
     private final FlightService service;
-    private final Prepared prepared;
-    private final CallGate gate;
-    private final EventLoopGroup loops;
-    private final Connections connections;
-    private volatile long endsAt = Long.MAX_VALUE;
+    private final PreparedStatements preparedStatements;
+    private final CallInterceptor callInterceptor;
+    private final EventLoopGroup eventLoops;
+    private final ClientConnections connections;
+    private volatile long endsAtNs = Long.MAX_VALUE;
     /** Null while nobody is taken in. */
     private volatile Server server;
-    private boolean away, stopped;
+    private boolean evacuating, stopped;
 
-    FlightFront(InetSocketAddress address, Services services, FlightLimits limits, Ipc ipc, Catalog catalog,
-            EventLoopGroup loops) {
+    FlightFront(InetSocketAddress address, Services services, FlightLimits limits, ArrowIpc ipc, Catalog catalog,
+            EventLoopGroup eventLoops) {
         this.address = address;
         this.services = services;
         this.limits = limits;
-        this.loops = loops;
-        byte[] key = new byte[KEY_BYTES];
-        new SecureRandom().nextBytes(key);
-        prepared = new Prepared(limits.prepared(), FlightLimits.PREPARED_A_CONNECTION);
-        connections = new Connections(limits.connections());
-        gate = new CallGate(limits.calls(), services.counters(), connections);
-        service = new FlightService(services, new Tickets(key, limits.tickets(), FlightLimits.TICKET_LIFE_NS), prepared,
-                catalog, ipc, new Workers(limits.calls()), () -> endsAt - services.clock().now());
+        this.eventLoops = eventLoops;
+        byte[] ticketKey = new byte[TICKET_KEY_BYTES];
+        new SecureRandom().nextBytes(ticketKey);
+        preparedStatements = new PreparedStatements(limits.maxPreparedStatements(), FlightLimits.MAX_PREPARED_PER_CONNECTION);
+        connections = new ClientConnections(limits.maxConnections());
+        callInterceptor = new CallInterceptor(limits.maxCalls(), services.counters(), connections);
+        service = new FlightService(services, new Tickets(ticketKey, limits.maxTickets(), FlightLimits.TICKET_LIFETIME_NS), preparedStatements,
+                catalog, ipc, new Workers(limits.maxCalls()), () -> endsAtNs - services.clock().now());
     }
 
-    private Server build() {
+    private Server buildServer() {
         return NettyServerBuilder.forAddress(address)
                 .channelFactory(() -> new CappedServerChannel(connections,
                         () -> services.counters().count(Counter.CLIENTS_TURNED_AWAY)))
-                .bossEventLoopGroup(loops).workerEventLoopGroup(loops).directExecutor()
+                .bossEventLoopGroup(eventLoops).workerEventLoopGroup(eventLoops).directExecutor()
                 // a newer process listens beside this one while it takes over
                 .withOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-                .withOption(ChannelOption.SO_BACKLOG, BACKLOG)
-                .maxInboundMessageSize(2 * FlightLimits.STATEMENT_BYTES)
-                .maxInboundMetadataSize(FlightLimits.METADATA_BYTES)
-                .maxConcurrentCallsPerConnection(FlightLimits.CALLS_A_CONNECTION)
-                .maxConnectionIdle(IDLE_MINUTES, TimeUnit.MINUTES)
-                .permitKeepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
+                .withOption(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
+                .maxInboundMessageSize(2 * FlightLimits.MAX_STATEMENT_BYTES)
+                .maxInboundMetadataSize(FlightLimits.MAX_METADATA_BYTES)
+                .maxConcurrentCallsPerConnection(FlightLimits.MAX_CALLS_PER_CONNECTION)
+                .maxConnectionIdle(MAX_IDLE_MINUTES, TimeUnit.MINUTES)
+                .permitKeepAliveTime(MIN_KEEP_ALIVE_S, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
                 .addTransportFilter(new ServerTransportFilter() {
                     @Override
                     public void transportTerminated(Attributes transport) {
                         Object connection = transport == null ? null
                                 : transport.get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
                         if (connection != null) {
-                            prepared.gone(connection);
+                            preparedStatements.removeAll(connection);
                         }
                     }
                 })
-                .intercept(gate).addService(service.bind()).build();
+                .intercept(callInterceptor).addService(service.serviceDefinition()).build();
     }
 
     @Override
     public synchronized void listen() throws IOException {
-        if (!stopped && !away && server == null) {
-            server = build().start();
+        if (!stopped && !evacuating && server == null) {
+            server = buildServer().start();
             Log.info("Flight SQL at " + address);
         }
     }
@@ -97,13 +97,13 @@
 
     /** GOAWAY to all: calls that run end as they would, and nobody new is taken in until the order is taken back. */
     @Override
-    public synchronized void sendAway(boolean yes) {
-        if (yes == away) {
+    public synchronized void setEvacuating(boolean yes) {
+        if (yes == evacuating) {
             return;
         }
-        away = yes;
+        evacuating = yes;
         if (yes) {
-            shutDown();
+            shutDownServer();
         } else {
             try {
                 listen();
@@ -113,7 +113,7 @@
         }
     }
 
-    private synchronized void shutDown() {
+    private synchronized void shutDownServer() {
         if (server != null) {
             server.shutdown();
             server = null;
@@ -121,25 +121,25 @@
     }
 
     @Override
-    public void endAfter(long afterNs) {
-        endsAt = services.clock().now() + afterNs;
+    public void announceShutdown(long afterNs) {
+        endsAtNs = services.clock().now() + afterNs;
     }
 
     @Override
     public void handOver() {
-        shutDown();
+        shutDownServer();
     }
 
     @Override
     public synchronized void stopAccepting() {
         stopped = true;
-        shutDown();
+        shutDownServer();
     }
 
     /** GOAWAY has told the clients already, and each connection ends with its last call. */
     @Override
     public void closeWhenIdle() {
-        shutDown();
+        shutDownServer();
     }
 
     @Override
--- a/flight/src/main/java/holdmux/flight/FlightService.java
+++ b/flight/src/main/java/holdmux/flight/FlightService.java
@@ -6,7 +6,7 @@
 import com.google.protobuf.Message;
 import com.google.protobuf.Timestamp;
 import holdmux.core.Admission;
-import holdmux.core.Client;
+import holdmux.core.Responder;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Log;
 import holdmux.core.Request;
@@ -14,7 +14,7 @@
 import holdmux.statement.SqlState;
 import holdmux.statement.Statement;
 import holdmux.statement.StatementException;
-import holdmux.statement.Text;
+import holdmux.statement.ChunkedText;
 import io.grpc.ServerServiceDefinition;
 import io.grpc.StatusRuntimeException;
 import io.grpc.stub.ServerCallStreamObserver;
@@ -50,63 +50,63 @@
  * like those of any front. Calls come in on the event loops, which must not wait; a request's life has a worker.
  */
 final class FlightService {
-    private static final String CREATE = "CreatePreparedStatement", CLOSE = "ClosePreparedStatement";
+    private static final String CREATE_ACTION = "CreatePreparedStatement", CLOSE_ACTION = "ClosePreparedStatement";
     /** The handle of the ticket for the counters, which no sealed one can equal: those begin with a version. */
-    private static final ByteString STATS = ByteString.copyFromUtf8("SHOW STATS");
+    private static final ByteString STATS_HANDLE = ByteString.copyFromUtf8("SHOW STATS");
     /** Bound values are short, as the literals that they become. */
-    private static final int PARAMETER_BYTES = FlightLimits.STATEMENT_BYTES;
+    private static final int MAX_PARAMETER_BYTES = FlightLimits.MAX_STATEMENT_BYTES;
 
     private final Services services;
     private final Tickets tickets;
-    private final Prepared prepared;
-    private final Schemas schemas = new Schemas();
+    private final PreparedStatements preparedStatements;
+    private final SchemaCache schemaCache = new SchemaCache();
     private final Catalog catalog;
-    private final Ipc ipc;
+    private final ArrowIpc ipc;
     private final Executor workers;
-    private final LongSupplier timeLeftNs;
+    private final LongSupplier remainingLifetimeNs;
 
     /** {@code timeLeftNs}: how long this process still serves. */
-    FlightService(Services services, Tickets tickets, Prepared prepared, Catalog catalog, Ipc ipc, Executor workers,
-            LongSupplier timeLeftNs) {
+    FlightService(Services services, Tickets tickets, PreparedStatements preparedStatements, Catalog catalog, ArrowIpc ipc, Executor workers,
+            LongSupplier remainingLifetimeNs) {
         this.services = services;
         this.tickets = tickets;
-        this.prepared = prepared;
+        this.preparedStatements = preparedStatements;
         this.catalog = catalog;
         this.ipc = ipc;
         this.workers = workers;
-        this.timeLeftNs = timeLeftNs;
+        this.remainingLifetimeNs = remainingLifetimeNs;
     }
 
     /** What is not bound here gRPC answers as UNIMPLEMENTED: ListFlights, PollFlightInfo, DoExchange. */
-    ServerServiceDefinition bind() {
+    ServerServiceDefinition serviceDefinition() {
         return ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME)
                 .addMethod(FlightServiceGrpc.getHandshakeMethod(), ServerCalls.asyncBidiStreamingCall(this::handshake))
                 .addMethod(FlightServiceGrpc.getGetFlightInfoMethod(),
-                        ServerCalls.asyncUnaryCall((asked, out) -> one(asked, out, this::plan)))
+                        ServerCalls.asyncUnaryCall((request, out) -> answerUnary(request, out, this::getFlightInfo)))
                 .addMethod(FlightServiceGrpc.getGetSchemaMethod(),
-                        ServerCalls.asyncUnaryCall((asked, out) -> one(asked, out, this::schema)))
-                .addMethod(Raw.DO_GET, ServerCalls.asyncServerStreamingCall((asked, out) ->
-                        guarded(out, () -> fetch(asked, (ServerCallStreamObserver<byte[]>) out))))
-                .addMethod(Raw.DO_PUT, ServerCalls.asyncBidiStreamingCall(this::put))
+                        ServerCalls.asyncUnaryCall((request, out) -> answerUnary(request, out, this::getSchema)))
+                .addMethod(RawMethods.DO_GET, ServerCalls.asyncServerStreamingCall((request, out) ->
+                        runGuarded(out, () -> doGet(request, (ServerCallStreamObserver<byte[]>) out))))
+                .addMethod(RawMethods.DO_PUT, ServerCalls.asyncBidiStreamingCall(this::doPut))
                 .addMethod(FlightServiceGrpc.getDoActionMethod(),
-                        ServerCalls.asyncServerStreamingCall((asked, out) -> one(asked, out, this::act)))
+                        ServerCalls.asyncServerStreamingCall((request, out) -> answerUnary(request, out, this::doAction)))
                 .addMethod(FlightServiceGrpc.getListActionsMethod(), ServerCalls.asyncServerStreamingCall((e, out) -> {
-                    out.onNext(ActionType.newBuilder().setType(CREATE).build());
-                    out.onNext(ActionType.newBuilder().setType(CLOSE).build());
+                    out.onNext(ActionType.newBuilder().setType(CREATE_ACTION).build());
+                    out.onNext(ActionType.newBuilder().setType(CLOSE_ACTION).build());
                     out.onCompleted();
                 }))
                 .build();
     }
 
     /** What a call does; throws what its client is told. */
-    private interface Work {
+    private interface CallBody {
         void run() throws StatementException, IOException;
     }
 
     /** Answers a call that was not well-formed, or failed here, with the fitting status. */
-    private void guarded(StreamObserver<?> out, Work work) {
+    private void runGuarded(StreamObserver<?> out, CallBody body) {
         try {
-            work.run();
+            body.run();
         } catch (StatementException e) {
             services.counters().count(Counter.BAD_INPUT);
             out.onError(Statuses.badInput(e));
@@ -122,15 +122,15 @@
         }
     }
 
-    private interface Answer<Q, A> {
-        A to(Q asked) throws StatementException, IOException;
+    private interface UnaryHandler<Q, A> {
+        A handle(Q request) throws StatementException, IOException;
     }
 
-    private <Q, A> void one(Q asked, StreamObserver<A> out, Answer<Q, A> answer) {
-        guarded(out, () -> {
-            A made = answer.to(asked);
-            if (made != null) {
-                out.onNext(made);
+    private <Q, A> void answerUnary(Q request, StreamObserver<A> out, UnaryHandler<Q, A> handler) {
+        runGuarded(out, () -> {
+            A response = handler.handle(request);
+            if (response != null) {
+                out.onNext(response);
             }
             out.onCompleted();
         });
@@ -145,7 +145,7 @@
             }
 
             @Override
-            public void onError(Throwable gone) {
+            public void onError(Throwable error) {
                 // it left
             }
 
@@ -156,7 +156,7 @@
         };
     }
 
-    private static Any any(ByteString bytes) throws StatementException {
+    private static Any parseAny(ByteString bytes) throws StatementException {
         try {
             return Any.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
@@ -176,101 +176,101 @@
         return sql.length() < 32 && sql.strip().toUpperCase(Locale.ROOT).matches("SHOW STATS\\s*;?");
     }
 
-    private static String checked(String sql) throws StatementException {
-        if (sql.length() > FlightLimits.STATEMENT_BYTES) {
+    private static String checkLength(String sql) throws StatementException {
+        if (sql.length() > FlightLimits.MAX_STATEMENT_BYTES) {
             throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED, "a statement over 1 MiB");
         }
         return sql;
     }
 
-    private static void noTransaction(boolean has) {
-        if (has) {
-            throw Statuses.notOffered("a transaction");
+    private static void rejectTransaction(boolean hasTransaction) {
+        if (hasTransaction) {
+            throw Statuses.unsupported("a transaction");
         }
     }
 
     /** The text of a command that asks for rows; null where it asks for something else. */
-    private String sql(Any command) throws StatementException {
+    private String queryText(Any command) throws StatementException {
         if (command.is(CommandStatementQuery.class)) {
             CommandStatementQuery query = unpack(command, CommandStatementQuery.class);
-            noTransaction(query.hasTransactionId());
-            return checked(query.getQuery());
+            rejectTransaction(query.hasTransactionId());
+            return checkLength(query.getQuery());
         } else if (command.is(CommandPreparedStatementQuery.class)) {
-            return checked(entry(unpack(command, CommandPreparedStatementQuery.class).getPreparedStatementHandle()).sql());
+            return checkLength(preparedStatement(unpack(command, CommandPreparedStatementQuery.class).getPreparedStatementHandle()).sql());
         }
         return null;
     }
 
-    private Prepared.Entry entry(ByteString handle) throws StatementException {
-        Prepared.Entry entry = prepared.get(Caller.now().connection(), handle);
+    private PreparedStatements.Entry preparedStatement(ByteString handle) throws StatementException {
+        PreparedStatements.Entry entry = preparedStatements.get(CallContext.current().connection(), handle);
         if (entry == null) {
             throw new StatementException(SqlState.INVALID_PARAMETER_VALUE, "no such prepared statement");
         }
         return entry;
     }
 
-    private Statement statement(String sql) throws StatementException {
-        return Figures.statement(sql, Caller.now()::header, UUID.randomUUID().toString().replace("-", ""),
+    private Statement parseStatement(String sql) throws StatementException {
+        return RequestAttributes.toStatement(sql, CallContext.current()::header, UUID.randomUUID().toString().replace("-", ""),
                 services.admission());
     }
 
-    private FlightInfo plan(FlightDescriptor asked) throws StatementException {
-        Any command = any(asked.getCmd());
-        String sql = sql(command);
+    private FlightInfo getFlightInfo(FlightDescriptor descriptor) throws StatementException {
+        Any command = parseAny(descriptor.getCmd());
+        String sql = queryText(command);
         if (sql == null) {
             Schema schema = catalogSchema(command);
-            return info(asked, command.toByteString(), schema, 0);
+            return flightInfo(descriptor, command.toByteString(), schema, 0);
         }
         if (isShowStats(sql)) {
-            return info(asked, ticket(STATS), Catalog.STATS, 0);
+            return flightInfo(descriptor, encodeTicket(STATS_HANDLE), Catalog.STATS_SCHEMA, 0);
         }
-        Statement statement = statement(sql);
-        services.admission().call(statement, Long.MAX_VALUE);
+        Statement statement = parseStatement(sql);
+        services.admission().admit(statement, Long.MAX_VALUE);
         long now = services.clock().now();
         byte[] text = new byte[statement.length()];
         statement.copyTo(text);
         byte[] ticket = tickets.issue(text, now);
         if (ticket == null) {
             services.counters().count(Counter.OVER_CAPACITY);
-            throw Statuses.refused("too many tickets are out", FlightLimits.TICKET_LIFE_NS);
+            throw Statuses.refused("too many tickets are out", FlightLimits.TICKET_LIFETIME_NS);
         }
         services.counters().count(Counter.TICKETS_ISSUED);
-        return info(asked, ticket(ByteString.copyFrom(ticket)), schemas.known(sql), now + FlightLimits.TICKET_LIFE_NS);
+        return flightInfo(descriptor, encodeTicket(ByteString.copyFrom(ticket)), schemaCache.cached(sql), now + FlightLimits.TICKET_LIFETIME_NS);
     }
 
-    private static ByteString ticket(ByteString handle) {
+    private static ByteString encodeTicket(ByteString handle) {
         return Any.pack(TicketStatementQuery.newBuilder().setStatementHandle(handle).build()).toByteString();
     }
 
     /** {@code schema} is null for one that is not known before the table comes; {@code endsAt} 0 for no end. */
-    private static FlightInfo info(FlightDescriptor asked, ByteString ticket, Schema schema, long endsAt) {
+    private static FlightInfo flightInfo(FlightDescriptor descriptor, ByteString ticket, Schema schema, long expiresAt) {
         FlightEndpoint.Builder endpoint = FlightEndpoint.newBuilder().setTicket(Ticket.newBuilder().setTicket(ticket));
-        if (endsAt > 0) {
-            endpoint.setExpirationTime(Timestamp.newBuilder().setSeconds(endsAt / 1_000_000_000L)
-                    .setNanos((int) (endsAt % 1_000_000_000L)));
+        if (expiresAt > 0) {
+            endpoint.setExpirationTime(Timestamp.newBuilder().setSeconds(expiresAt / 1_000_000_000L)
+                    .setNanos((int) (expiresAt % 1_000_000_000L)));
         }
-        FlightInfo.Builder info = FlightInfo.newBuilder().setFlightDescriptor(asked).addEndpoint(endpoint)
+        FlightInfo.Builder info = FlightInfo.newBuilder().setFlightDescriptor(descriptor).addEndpoint(endpoint)
                 .setTotalRecords(-1).setTotalBytes(-1).setOrdered(true);
         if (schema != null) {
-            info.setSchema(Ipc.encapsulated(schema));
+            info.setSchema(ArrowIpc.encapsulated(schema));
         }
         return info.build();
     }
 
-    private SchemaResult schema(FlightDescriptor asked) throws StatementException {
-        Any command = any(asked.getCmd());
-        String sql = sql(command);
+    private SchemaResult getSchema(FlightDescriptor descriptor) throws StatementException {
+        Any command = parseAny(descriptor.getCmd());
+        String sql = queryText(command);
         return SchemaResult.newBuilder()
-                .setSchema(Ipc.encapsulated(sql == null ? catalogSchema(command) : expected(sql))).build();
+                .setSchema(ArrowIpc.encapsulated(sql == null ? catalogSchema(command) : expectedSchema(sql))).build();
     }
 
     /** How a statement's table looked last; before it was served once, how the one table's values look. */
-    private Schema expected(String sql) {
+    private Schema expectedSchema(String sql) {
         if (isShowStats(sql)) {
-            return Catalog.STATS;
+            return Catalog.STATS_SCHEMA;
         }
-        Schema known = schemas.known(sql);
-        return known == null ? Ipc.cellSchema("data") : known;
+        Schema cached = schemaCache.cached(sql);
+        return cached == null ? ArrowIpc.scalarSchema("data") : cached;
     }
 
     private static Schema catalogSchema(Any command) throws StatementException {
@@ -295,34 +295,34 @@
         } else if (command.is(CommandGetXdbcTypeInfo.class)) {
             return FlightSqlProducer.Schemas.GET_TYPE_INFO_SCHEMA;
         }
-        throw Statuses.notOffered("this command");
+        throw Statuses.unsupported("this command");
     }
 
     /** DoGet: a ticket of ours is one request; what a catalog's command asks is answered here, any number of times. */
-    private void fetch(Ticket asked, ServerCallStreamObserver<byte[]> out) throws StatementException {
-        Any command = any(asked.getTicket());
+    private void doGet(Ticket ticket, ServerCallStreamObserver<byte[]> out) throws StatementException {
+        Any command = parseAny(ticket.getTicket());
         if (!command.is(TicketStatementQuery.class)) {
             send(catalog(command), out);
             return;
         }
         ByteString handle = unpack(command, TicketStatementQuery.class).getStatementHandle();
-        if (handle.equals(STATS)) {
+        if (handle.equals(STATS_HANDLE)) {
             send(catalog.stats(services.counters()), out);
             return;
         }
         byte[] text;
         try {
             text = tickets.redeem(handle.toByteArray(), services.clock().now());
-        } catch (Tickets.RefusedException e) {
+        } catch (Tickets.InvalidTicketException e) {
             services.counters().count(Counter.TICKETS_REFUSED);
             out.onError(Statuses.badTicket(e));
             return;
         }
-        Statement statement = Statement.parse(Text.of(text, text.length));
+        Statement statement = Statement.parse(ChunkedText.of(text, text.length));
         String sql = new String(text, StandardCharsets.UTF_8);
-        FlightReply reply = new FlightReply(out, Caller.now(), services.balancer(), services.counters(), ipc,
-                schema -> schemas.served(sql, schema));
-        run(statement, reply, reply.presence(), out);
+        DoGetResponder reply = new DoGetResponder(out, CallContext.current(), services.balancer(), services.counters(), ipc,
+                schema -> schemaCache.put(sql, schema));
+        submit(statement, reply, reply.cancellation(), out);
     }
 
     private List<byte[]> catalog(Any command) throws StatementException {
@@ -337,43 +337,43 @@
         } else if (command.is(CommandGetTableTypes.class)) {
             return catalog.tableTypes();
         }
-        return catalog.none(catalogSchema(command));
+        return catalog.emptyTable(catalogSchema(command));
     }
 
-    private static void send(List<byte[]> frames, StreamObserver<byte[]> out) {
-        frames.forEach(out::onNext);
+    private static void send(List<byte[]> messages, StreamObserver<byte[]> out) {
+        messages.forEach(out::onNext);
         out.onCompleted();
     }
 
     /** Takes a statement as a request and gives it a worker for its life. */
-    private void run(Statement statement, Client client, Presence presence, StreamObserver<?> out)
+    private void submit(Statement statement, Responder responder, CallCancellation cancellation, StreamObserver<?> out)
             throws StatementException {
-        long left = timeLeftNs.getAsLong();
-        if (left <= 0 || statement.write && left < Admission.waitNs(statement)) {
-            throw Statuses.ending(); // how the write ended could not be told; another pooler can take it
+        long remainingNs = remainingLifetimeNs.getAsLong();
+        if (remainingNs <= 0 || statement.write && remainingNs < Admission.remainingWaitNs(statement)) {
+            throw Statuses.shuttingDown(); // how the write ended could not be told; another pooler can take it
         }
-        Admission.Closed closed = services.admission().closed();
-        if (closed != null) {
-            services.counters().count(closed.counter());
-            throw Statuses.closed(closed.reason());
+        Admission.Refusal refusal = services.admission().refusal();
+        if (refusal != null) {
+            services.counters().count(refusal.counter());
+            throw Statuses.closed(refusal.reason());
         }
-        Request.Call call = services.admission().call(statement, Math.min(left, Caller.now().leftNs()));
+        Request.Spec requestSpec = services.admission().admit(statement, Math.min(remainingNs, CallContext.current().remainingNs()));
         try {
-            workers.execute(() -> live(statement, client, presence, call, out));
+            workers.execute(() -> process(statement, responder, cancellation, requestSpec, out));
         } catch (RejectedExecutionException e) {
             services.counters().count(Counter.OVER_CAPACITY);
             throw Statuses.refused("too many requests at once", 0);
         }
     }
 
-    private void live(Statement statement, Client client, Presence presence, Request.Call call,
+    private void process(Statement statement, Responder responder, CallCancellation cancellation, Request.Spec requestSpec,
             StreamObserver<?> out) {
         try {
-            Request request = services.balancer().taken(call);
-            if (!presence.begins(request)) {
-                services.balancer().left(request);
+            Request request = services.balancer().openRequest(requestSpec);
+            if (!cancellation.begin(request)) {
+                services.balancer().clientLeft(request);
             }
-            services.balancer().life(request, statement, client);
+            services.balancer().execute(request, statement, responder);
         } catch (RuntimeException e) {
             services.counters().count(Counter.INTERNAL_ERRORS);
             Log.error("an answer failed here", e);
@@ -381,112 +381,112 @@
         }
     }
 
-    private Flight.Result act(Action action) throws StatementException {
-        Object connection = Caller.now().connection();
+    private Flight.Result doAction(Action action) throws StatementException {
+        Object connection = CallContext.current().connection();
         switch (action.getType()) {
-            case CREATE -> {
-                ActionCreatePreparedStatementRequest asked =
-                        unpack(any(action.getBody()), ActionCreatePreparedStatementRequest.class);
-                noTransaction(asked.hasTransactionId());
-                return result(create(connection, checked(asked.getQuery())));
+            case CREATE_ACTION -> {
+                ActionCreatePreparedStatementRequest request =
+                        unpack(parseAny(action.getBody()), ActionCreatePreparedStatementRequest.class);
+                rejectTransaction(request.hasTransactionId());
+                return actionResult(createPreparedStatement(connection, checkLength(request.getQuery())));
             }
-            case CLOSE -> {
-                prepared.close(connection, unpack(any(action.getBody()), ActionClosePreparedStatementRequest.class)
+            case CLOSE_ACTION -> {
+                preparedStatements.close(connection, unpack(parseAny(action.getBody()), ActionClosePreparedStatementRequest.class)
                         .getPreparedStatementHandle());
                 return null;
             }
-            default -> throw Statuses.notOffered("the action");
+            default -> throw Statuses.unsupported("the action");
         }
     }
 
-    private ActionCreatePreparedStatementResult create(Object connection, String sql) throws StatementException {
-        Placeholders text = new Placeholders(sql);
-        ByteString handle = prepared.add(connection, text);
+    private ActionCreatePreparedStatementResult createPreparedStatement(Object connection, String sql) throws StatementException {
+        SqlTemplate template = new SqlTemplate(sql);
+        ByteString handle = preparedStatements.add(connection, template);
         if (handle == null) {
             services.counters().count(Counter.OVER_CAPACITY);
             throw Statuses.refused("too many prepared statements", 0);
         }
-        boolean write = sql.stripLeading().toUpperCase(Locale.ROOT).startsWith("INSERT");
+        boolean isWrite = sql.stripLeading().toUpperCase(Locale.ROOT).startsWith("INSERT");
         // drivers tell a query from an update by whether its rows have columns
-        Schema rows = write ? new Schema(List.of()) : expected(sql);
+        Schema resultSchema = isWrite ? new Schema(List.of()) : expectedSchema(sql);
         List<org.apache.arrow.vector.types.pojo.Field> parameters = new ArrayList<>();
-        for (int i = 1; i <= text.count(); i++) {
+        for (int i = 1; i <= template.parameterCount(); i++) {
             parameters.add(org.apache.arrow.vector.types.pojo.Field.nullable("$" + i,
                     org.apache.arrow.vector.types.pojo.ArrowType.Utf8.INSTANCE));
         }
         return ActionCreatePreparedStatementResult.newBuilder().setPreparedStatementHandle(handle)
-                .setDatasetSchema(Ipc.encapsulated(rows)).setParameterSchema(Ipc.encapsulated(new Schema(parameters)))
+                .setDatasetSchema(ArrowIpc.encapsulated(resultSchema)).setParameterSchema(ArrowIpc.encapsulated(new Schema(parameters)))
                 .build();
     }
 
-    private static Flight.Result result(Message message) {
+    private static Flight.Result actionResult(Message message) {
         return Flight.Result.newBuilder().setBody(Any.pack(message).toByteString()).build();
     }
 
     /** DoPut: an update, run at its first message, or the parameters of a prepared statement, taken whole. */
-    private StreamObserver<byte[]> put(StreamObserver<PutResult> observer) {
+    private StreamObserver<byte[]> doPut(StreamObserver<PutResult> observer) {
         ServerCallStreamObserver<PutResult> out = (ServerCallStreamObserver<PutResult>) observer;
-        Put put = new Put(out);
-        out.setOnCancelHandler(put.presence::leave);
-        return put;
+        PutStream stream = new PutStream(out);
+        out.setOnCancelHandler(stream.cancellation::cancel);
+        return stream;
     }
 
-    private final class Put implements StreamObserver<byte[]> {
+    private final class PutStream implements StreamObserver<byte[]> {
         private final ServerCallStreamObserver<PutResult> out;
-        private final List<byte[]> frames = new ArrayList<>();
-        private int bytes;
+        private final List<byte[]> messages = new ArrayList<>();
+        private int receivedBytes;
         private Any command;
-        private boolean over;
-        private final Presence presence = new Presence(services.balancer());
+        private boolean ended;
+        private final CallCancellation cancellation = new CallCancellation(services.balancer());
 
-        Put(ServerCallStreamObserver<PutResult> out) {
+        PutStream(ServerCallStreamObserver<PutResult> out) {
             this.out = out;
         }
 
         @Override
-        public void onNext(byte[] frame) {
-            if (over) {
+        public void onNext(byte[] message) {
+            if (ended) {
                 return;
             }
-            guarded(out, () -> {
-                boolean done = true;
+            runGuarded(out, () -> {
+                boolean complete = true;
                 try {
-                    done = take(frame);
+                    complete = handleMessage(message);
                 } finally {
-                    over |= done; // a fault ends the call as well
+                    ended |= complete; // a fault ends the call as well
                 }
             });
         }
 
         /** True once nothing more of the stream is wanted. */
-        private boolean take(byte[] frame) throws StatementException, IOException {
-            bytes += frame.length;
-            if (bytes > PARAMETER_BYTES + FlightLimits.STATEMENT_BYTES) {
+        private boolean handleMessage(byte[] message) throws StatementException, IOException {
+            receivedBytes += message.length;
+            if (receivedBytes > MAX_PARAMETER_BYTES + FlightLimits.MAX_STATEMENT_BYTES) {
                 throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED, "too many bytes of parameters");
             }
             if (command == null) {
-                command = any(FlightData.parseFrom(frame).getFlightDescriptor().getCmd());
+                command = parseAny(FlightData.parseFrom(message).getFlightDescriptor().getCmd());
                 if (command.is(CommandStatementUpdate.class)) {
                     CommandStatementUpdate update = unpack(command, CommandStatementUpdate.class);
-                    noTransaction(update.hasTransactionId());
-                    update(checked(update.getQuery()));
+                    rejectTransaction(update.hasTransactionId());
+                    submitUpdate(checkLength(update.getQuery()));
                     return true;
                 } else if (!command.is(CommandPreparedStatementUpdate.class)
                         && !command.is(CommandPreparedStatementQuery.class)) {
-                    throw Statuses.notOffered("this command");
+                    throw Statuses.unsupported("this command");
                 }
             }
-            frames.add(frame);
+            messages.add(message);
             return false;
         }
 
         @Override
         public void onCompleted() {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
-            guarded(out, () -> {
+            ended = true;
+            runGuarded(out, () -> {
                 if (command == null) {
                     throw new StatementException(SqlState.PROTOCOL_VIOLATION, "a stream without a command");
                 }
@@ -494,38 +494,38 @@
                 ByteString handle = query
                         ? unpack(command, CommandPreparedStatementQuery.class).getPreparedStatementHandle()
                         : unpack(command, CommandPreparedStatementUpdate.class).getPreparedStatementHandle();
-                Prepared.Entry entry = entry(handle);
-                if (entry.text.count() > 0) {
-                    entry.bind(literals());
+                PreparedStatements.Entry entry = preparedStatement(handle);
+                if (entry.template.parameterCount() > 0) {
+                    entry.bind(parameterLiterals());
                 }
                 if (query) {
                     out.onNext(PutResult.newBuilder().setAppMetadata(DoPutPreparedStatementResult.newBuilder()
                             .setPreparedStatementHandle(handle).build().toByteString()).build());
                     out.onCompleted();
                 } else {
-                    update(checked(entry.sql()));
+                    submitUpdate(checkLength(entry.sql()));
                 }
             });
         }
 
-        private List<String> literals() throws StatementException, IOException {
+        private List<String> parameterLiterals() throws StatementException, IOException {
             List<String> literals = new ArrayList<>();
             int[] rows = {0};
-            StatementException[] wrong = new StatementException[1];
-            ipc.read(frames, root -> {
+            StatementException[] conversionError = new StatementException[1];
+            ipc.readBatches(messages, root -> {
                 rows[0] += root.getRowCount();
                 if (root.getRowCount() == 1 && rows[0] == 1) {
                     for (org.apache.arrow.vector.FieldVector vector : root.getFieldVectors()) {
                         try {
-                            literals.add(Placeholders.literal(vector.getObject(0)));
+                            literals.add(SqlTemplate.toLiteral(vector.getObject(0)));
                         } catch (StatementException e) {
-                            wrong[0] = e;
+                            conversionError[0] = e;
                         }
                     }
                 }
             });
-            if (wrong[0] != null) {
-                throw wrong[0];
+            if (conversionError[0] != null) {
+                throw conversionError[0];
             } else if (rows[0] != 1) {
                 throw new StatementException(SqlState.FEATURE_NOT_SUPPORTED, "one row of parameters makes one request, here are "
                         + rows[0]);
@@ -533,17 +533,17 @@
             return literals;
         }
 
-        private void update(String sql) throws StatementException {
-            Statement statement = statement(sql);
+        private void submitUpdate(String sql) throws StatementException {
+            Statement statement = parseStatement(sql);
             if (!statement.write) {
                 throw new StatementException(SqlState.SYNTAX_ERROR, "an update must write");
             }
-            run(statement, new UpdateReply(out, ipc), presence, out);
+            submit(statement, new DoPutResponder(out, ipc), cancellation, out);
         }
 
         @Override
-        public void onError(Throwable gone) {
-            over = true;
+        public void onError(Throwable error) {
+            ended = true;
         }
     }
 }
