--- a/flight/src/main/java/holdmux/flight/FlightUpstream.java
+++ b/flight/src/main/java/holdmux/flight/FlightUpstream.java
@@ -12,9 +12,9 @@
 import holdmux.core.Reply;
 import holdmux.core.ServerStatus;
 import holdmux.core.Services;
-import holdmux.core.Updated;
+import holdmux.core.UpdateResult;
 import holdmux.core.Upstream;
-import holdmux.core.Value;
+import holdmux.core.QueryResult;
 import holdmux.decision.SplitterApi.Outcome;
 import holdmux.statement.Statement;
 import io.grpc.Status;
@@ -43,276 +43,276 @@
  */
 final class FlightUpstream implements Upstream {
     /** The longest value of the other protocol, and the messages round it; what is larger is no cell. */
-    private static final int MOST_HELD = 4 * 1024 * 1024 + 64 * 1024;
-    private static final byte[] PROBE = "SHOW pressure".getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_BUFFERED_BYTES = 4 * 1024 * 1024 + 64 * 1024;
+    private static final byte[] PROBE_SQL = "SHOW pressure".getBytes(StandardCharsets.US_ASCII);
 
     private final Services services;
     private final FlightLimits limits;
-    private final Budget budget;
-    private final Ipc ipc;
-    private final EventLoopGroup loops;
-    private final ServerStatus.Form form;
-    private final IdleConnections<FlightConnection> idle;
+    private final MemoryBudget budget;
+    private final ArrowIpc ipc;
+    private final EventLoopGroup eventLoops;
+    private final ServerStatus.ReportFormat statusForm;
+    private final IdleConnections<FlightConnection> idleConnections;
 
-    FlightUpstream(Services services, FlightLimits limits, Budget budget, Ipc ipc, EventLoopGroup loops) {
+    FlightUpstream(Services services, FlightLimits limits, MemoryBudget budget, ArrowIpc ipc, EventLoopGroup eventLoops) {
         this.services = services;
         this.limits = limits;
         this.budget = budget;
         this.ipc = ipc;
-        this.loops = loops;
-        form = ServerStatus.Form.of(services.balancer().deployment());
-        idle = new IdleConnections<>(services.fleet(), services.clock(), services.deadlines(), services.counters(),
+        this.eventLoops = eventLoops;
+        statusForm = ServerStatus.ReportFormat.of(services.balancer().deployment());
+        idleConnections = new IdleConnections<>(services.registry(), services.clock(), services.deadlines(), services.counters(),
                 services.slots(), () -> services.balancer().deployment().connIdleNs());
     }
 
     /** An answer that fits no form that was wanted: it has run, and cannot be told. */
-    private static final class UnfitException extends Exception {
+    private static final class UnsupportedResultException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        UnfitException() {
+        UnsupportedResultException() {
             super("unfit", null, false, false);
         }
     }
 
     /** What one use of a connection works with. */
-    private final class Use {
+    private final class Exchange {
         final Attempt attempt;
         final FlightConnection connection;
-        final ServerStatus told = new ServerStatus(form);
+        final ServerStatus serverStatus = new ServerStatus(statusForm);
         /** Whether an earlier call of this attempt was answered: from then on a proof covers the later call alone. */
-        boolean answered;
-        boolean clean;
-        boolean kept;
+        boolean callAnswered;
+        boolean reusable;
+        boolean ownedByTable;
 
-        Use(Attempt attempt, FlightConnection connection) {
+        Exchange(Attempt attempt, FlightConnection connection) {
             this.attempt = attempt;
             this.connection = connection;
         }
 
-        <Q, A> ServerCall<Q, A> call(io.grpc.MethodDescriptor<Q, A> method, Q request,
-                java.util.function.ToLongFunction<A> size) throws IOException {
-            ServerCall<Q, A> call =
-                    new ServerCall<>(connection.channel(), method, request, told, budget, size, attempt::written);
-            if (!attempt.carriedBy(call::close)) {
+        <Q, A> UpstreamCall<Q, A> startCall(io.grpc.MethodDescriptor<Q, A> method, Q request,
+                java.util.function.ToLongFunction<A> sizeOf) throws IOException {
+            UpstreamCall<Q, A> call =
+                    new UpstreamCall<>(connection.channel(), method, request, serverStatus, budget, sizeOf, attempt::markWritten);
+            if (!attempt.attachConnection(call::close)) {
                 throw new IOException("cut off before it was sent");
             }
-            Deadlines.Deadline timeOut = services.deadlines().after(
+            Deadlines.Deadline timeout = services.deadlines().after(
                     services.balancer().deployment().connectTimeoutNs(), () -> {
-                        if (!call.created()) {
-                            attempt.cut(Outcome.CONNECT_FAILED);
+                        if (!call.streamCreated()) {
+                            attempt.abort(Outcome.CONNECT_FAILED);
                         }
                     });
-            timeOuts.add(timeOut);
+            timeouts.add(timeout);
             return call;
         }
 
-        private final List<Deadlines.Deadline> timeOuts = new ArrayList<>(2);
+        private final List<Deadlines.Deadline> timeouts = new ArrayList<>(2);
 
         /** The one answer of a call that gives one message. */
-        <Q, A> A one(ServerCall<Q, A> call) throws ServerCall.EndedException, ServerCall.NoRoomException,
+        <Q, A> A readSingle(UpstreamCall<Q, A> call) throws UpstreamCall.EndedException, UpstreamCall.BudgetExceededException,
                 InterruptedException {
             A answer = call.next(0);
-            call.passed(answer);
+            call.release(answer);
             awaitOk(call);
-            answered = true;
+            callAnswered = true;
             return answer;
         }
 
         /** Waits until a call of which all messages were read has ended well. */
-        void awaitOk(ServerCall<?, ?> call) throws ServerCall.EndedException, ServerCall.NoRoomException,
+        void awaitOk(UpstreamCall<?, ?> call) throws UpstreamCall.EndedException, UpstreamCall.BudgetExceededException,
                 InterruptedException {
             try {
                 call.next(0);
-            } catch (ServerCall.EndedException e) {
+            } catch (UpstreamCall.EndedException e) {
                 if (e.fromServer && e.status.isOk()) {
                     return;
                 }
                 throw e;
             }
-            throw new ServerCall.EndedException(Status.INTERNAL.withDescription("more messages than one"), true);
+            throw new UpstreamCall.EndedException(Status.INTERNAL.withDescription("more messages than one"), true);
         }
 
-        void end() {
-            timeOuts.forEach(services.deadlines()::cancel);
-            if (!kept) {
-                release(connection, clean);
+        void finish() {
+            timeouts.forEach(services.deadlines()::cancel);
+            if (!ownedByTable) {
+                releaseConnection(connection, reusable);
             }
         }
     }
 
-    private interface Work {
-        Attempted run(Use use) throws ServerCall.EndedException, ServerCall.NoRoomException, UnfitException,
+    private interface Operation {
+        AttemptResult run(Exchange exchange) throws UpstreamCall.EndedException, UpstreamCall.BudgetExceededException, UnsupportedResultException,
                 IOException, InterruptedException;
     }
 
     @Override
-    public Attempted attempt(Attempt attempt, Statement statement, Value.Form wanted) {
-        String sql = sql(statement, Math.max(1, attempt.limitNs / Clock.MS));
+    public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape shape) {
+        String sql = statementText(statement, Math.max(1, attempt.timeoutNs / Clock.MS));
         if (statement.write && !sql.toUpperCase(Locale.ROOT).contains("RETURNING")) {
-            return use(attempt, use -> put(use, sql));
+            return withConnection(attempt, exchange -> executeUpdate(exchange, sql));
         }
-        return use(attempt, use -> query(use, sql, statement.write, wanted));
+        return withConnection(attempt, exchange -> executeQuery(exchange, sql, statement.write, shape));
     }
 
-    private static String sql(Statement statement, long limitMs) {
-        List<ByteBuffer> parts = statement.text(limitMs);
-        ByteBuffer whole = ByteBuffer.allocate(parts.stream().mapToInt(ByteBuffer::remaining).sum());
-        parts.forEach(whole::put);
-        return new String(whole.array(), StandardCharsets.UTF_8);
+    private static String statementText(Statement statement, long timeoutMs) {
+        List<ByteBuffer> parts = statement.text(timeoutMs);
+        ByteBuffer buffer = ByteBuffer.allocate(parts.stream().mapToInt(ByteBuffer::remaining).sum());
+        parts.forEach(buffer::put);
+        return new String(buffer.array(), StandardCharsets.UTF_8);
     }
 
     /** One use of a connection to the attempt's server; blocks until it has ended one way or another. */
-    private Attempted use(Attempt attempt, Work work) {
-        FlightConnection connection = idle.take(attempt.store);
+    private AttemptResult withConnection(Attempt attempt, Operation operation) {
+        FlightConnection connection = idleConnections.take(attempt.serverId);
         if (connection != null) {
             services.counters().count(Counter.SERVER_REUSES);
         } else {
-            connection = open(attempt.store);
+            connection = openConnection(attempt.serverId);
             if (connection == null) {
-                return ended(Reply.of(Outcome.MOOT)); // never sent, and the server is not to blame
+                return withoutResult(Reply.of(Outcome.MOOT)); // never sent, and the server is not to blame
             }
         }
-        Use use = new Use(attempt, connection);
+        Exchange exchange = new Exchange(attempt, connection);
         try {
-            if (!attempt.stands()) { // decided a while ago: a thread or a slot may have been waited for
+            if (!attempt.mayWrite()) { // decided a while ago: a thread or a slot may have been waited for
                 services.counters().count(Counter.SENDS_OUTDATED);
-                use.clean = attempt.complete();
-                return ended(Reply.of(Outcome.MOOT));
+                exchange.reusable = attempt.complete();
+                return withoutResult(Reply.of(Outcome.MOOT));
             }
-            return work.run(use);
-        } catch (ServerCall.EndedException e) {
-            return ended(broken(use, e));
-        } catch (ServerCall.NoRoomException e) {
+            return operation.run(exchange);
+        } catch (UpstreamCall.EndedException e) {
+            return withoutResult(replyToEndedCall(exchange, e));
+        } catch (UpstreamCall.BudgetExceededException e) {
             services.counters().count(Counter.OVER_CAPACITY);
-            return ended(Reply.of(attempt.droppedHere()));
-        } catch (UnfitException e) {
+            return withoutResult(Reply.of(attempt.failLocally()));
+        } catch (UnsupportedResultException e) {
             attempt.complete();
-            return ended(use.told.reply(Outcome.OK));
+            return withoutResult(exchange.serverStatus.toReply(Outcome.OK));
         } catch (IOException e) {
-            return ended(Reply.of(attempt.broken()));
+            return withoutResult(Reply.of(attempt.failDisconnected()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return ended(Reply.of(attempt.broken()));
+            return withoutResult(Reply.of(attempt.failDisconnected()));
         } finally {
-            use.end();
+            exchange.finish();
         }
     }
 
-    private static Attempted ended(Reply reply) {
-        return new Attempted(reply, null);
+    private static AttemptResult withoutResult(Reply reply) {
+        return new AttemptResult(reply, null);
     }
 
     /** What the end of a call means for its attempt. */
-    private static Reply broken(Use use, ServerCall.EndedException e) {
-        Outcome outcome = Proof.outcome(e.status, e.fromServer);
+    private static Reply replyToEndedCall(Exchange exchange, UpstreamCall.EndedException e) {
+        Outcome outcome = StatusClassifier.outcome(e.status, e.fromServer);
         if (outcome != null) {
-            use.attempt.complete();
-            use.clean = true;
+            exchange.attempt.complete();
+            exchange.reusable = true;
             // OK here is an answer without what an answer must hold
-            return use.told.reply(outcome == Outcome.OK ? Outcome.ERROR : outcome);
+            return exchange.serverStatus.toReply(outcome == Outcome.OK ? Outcome.ERROR : outcome);
         }
-        if (!use.answered && Proof.neverProcessed(e.status, e.fromServer)) {
-            return Reply.of(use.attempt.provenUnrun());
+        if (!exchange.callAnswered && StatusClassifier.neverProcessed(e.status, e.fromServer)) {
+            return Reply.of(exchange.attempt.failUnprocessed());
         }
-        return Reply.of(use.attempt.broken());
+        return Reply.of(exchange.attempt.failDisconnected());
     }
 
-    private FlightConnection open(long store) {
-        InetSocketAddress address = services.fleet().address(store);
-        if (address == null || !idle.reserve()) {
+    private FlightConnection openConnection(long serverId) {
+        InetSocketAddress address = services.registry().address(serverId);
+        if (address == null || !idleConnections.reserve()) {
             return null;
         }
         services.counters().count(Counter.SERVER_CONNECTS);
-        return new FlightConnection(store, address, loops, services.balancer().deployment().connectTimeoutNs(),
-                limits.messageBytes());
+        return new FlightConnection(serverId, address, eventLoops, services.balancer().deployment().connectTimeoutNs(),
+                limits.maxMessageBytes());
     }
 
-    private void release(FlightConnection connection, boolean clean) {
-        if (clean) {
-            idle.keep(connection);
+    private void releaseConnection(FlightConnection connection, boolean reusable) {
+        if (reusable) {
+            idleConnections.keep(connection);
         } else {
-            idle.discard(connection);
+            idleConnections.discard(connection);
         }
     }
 
     /** A statement that gives no rows. */
-    private Attempted put(Use use, String sql) throws ServerCall.EndedException, ServerCall.NoRoomException,
+    private AttemptResult executeUpdate(Exchange exchange, String sql) throws UpstreamCall.EndedException, UpstreamCall.BudgetExceededException,
             IOException, InterruptedException {
         Any command = Any.pack(CommandStatementUpdate.newBuilder().setQuery(sql).build());
         byte[] request = org.apache.arrow.flight.impl.Flight.FlightData.newBuilder()
                 .setFlightDescriptor(descriptor(command)).build().toByteArray();
-        ServerCall<byte[], PutResult> call = use.call(Raw.DO_PUT, request, PutResult::getSerializedSize);
-        PutResult result = use.one(call);
-        use.attempt.complete();
-        use.clean = true;
+        UpstreamCall<byte[], PutResult> call = exchange.startCall(RawMethods.DO_PUT, request, PutResult::getSerializedSize);
+        PutResult result = exchange.readSingle(call);
+        exchange.attempt.complete();
+        exchange.reusable = true;
         try {
             long rows = DoPutUpdateResult.parseFrom(result.getAppMetadata()).getRecordCount();
-            return new Attempted(use.told.reply(Outcome.OK), new Updated(rows));
+            return new AttemptResult(exchange.serverStatus.toReply(Outcome.OK), new UpdateResult(rows));
         } catch (InvalidProtocolBufferException e) {
-            return ended(Reply.of(Outcome.RESET)); // spoilt: it may have run
+            return withoutResult(Reply.of(Outcome.RESET)); // spoilt: it may have run
         }
     }
 
-    private Attempted query(Use use, String sql, boolean write, Value.Form wanted) throws ServerCall.EndedException,
-            ServerCall.NoRoomException, UnfitException, IOException, InterruptedException {
-        FlightInfo plan = use.one(use.call(FlightServiceGrpc.getGetFlightInfoMethod(),
+    private AttemptResult executeQuery(Exchange exchange, String sql, boolean write, QueryResult.Shape shape) throws UpstreamCall.EndedException,
+            UpstreamCall.BudgetExceededException, UnsupportedResultException, IOException, InterruptedException {
+        FlightInfo info = exchange.readSingle(exchange.startCall(FlightServiceGrpc.getGetFlightInfoMethod(),
                 descriptor(Any.pack(CommandStatementQuery.newBuilder().setQuery(sql).build())),
                 FlightInfo::getSerializedSize));
-        if (plan.getEndpointCount() != 1 || plan.getEndpoint(0).getLocationCount() > 0) {
-            throw new UnfitException(); // a table in several places is not this server's own answer
+        if (info.getEndpointCount() != 1 || info.getEndpoint(0).getLocationCount() > 0) {
+            throw new UnsupportedResultException(); // a table in several places is not this server's own answer
         }
-        if (!write && !use.attempt.stands()) { // the plan brought the connection up, which may have taken long
+        if (!write && !exchange.attempt.mayWrite()) { // the plan brought the connection up, which may have taken long
             services.counters().count(Counter.SENDS_OUTDATED);
-            use.attempt.complete();
-            use.clean = true;
-            return ended(use.told.reply(Outcome.RESET)); // a plan is no proof that nothing ran
+            exchange.attempt.complete();
+            exchange.reusable = true;
+            return withoutResult(exchange.serverStatus.toReply(Outcome.RESET)); // a plan is no proof that nothing ran
         }
-        Ticket ticket = plan.getEndpoint(0).getTicket();
-        ServerCall<Ticket, byte[]> call = use.call(Raw.DO_GET, ticket, message -> message.length);
-        List<byte[]> frames = new ArrayList<>();
-        boolean passes = false;
+        Ticket ticket = info.getEndpoint(0).getTicket();
+        UpstreamCall<Ticket, byte[]> call = exchange.startCall(RawMethods.DO_GET, ticket, message -> message.length);
+        List<byte[]> messages = new ArrayList<>();
+        boolean handedOver = false;
         try {
-            frames.add(call.next(0));
-            Ipc.schema(frames.get(0)); // what does not begin with a schema is spoilt
-            boolean hold = write || wanted == Value.Form.CELL;
-            boolean whole = hold ? hold(call, frames) : begin(call, frames);
-            if (!use.attempt.complete()) {
-                return ended(Reply.of(use.attempt.broken()));
+            messages.add(call.next(0));
+            ArrowIpc.readSchema(messages.get(0)); // what does not begin with a schema is spoilt
+            boolean bufferAll = write || shape == QueryResult.Shape.CELL;
+            boolean allReceived = bufferAll ? readAll(call, messages) : readFirstBatch(call, messages);
+            if (!exchange.attempt.complete()) {
+                return withoutResult(Reply.of(exchange.attempt.failDisconnected()));
             }
-            Reply reply = use.told.reply(Outcome.OK);
-            if (whole) {
-                use.clean = true;
-                if (wanted == Value.Form.CELL) {
-                    return new Attempted(reply, ipc.cell(frames));
+            Reply reply = exchange.serverStatus.toReply(Outcome.OK);
+            if (allReceived) {
+                exchange.reusable = true;
+                if (shape == QueryResult.Shape.CELL) {
+                    return new AttemptResult(reply, ipc.readScalar(messages));
                 }
-                passes = true; // its messages count for the budget until it is passed on
-                return new Attempted(reply, new Table(frames, null, ended -> frames.forEach(call::passed)));
+                handedOver = true; // its messages count for the budget until it is passed on
+                return new AttemptResult(reply, new TableResult(messages, null, complete -> messages.forEach(call::release)));
             }
-            passes = true;
-            use.kept = true;
-            return new Attempted(reply, new Table(frames, call, ended -> release(use.connection, ended)));
+            handedOver = true;
+            exchange.ownedByTable = true;
+            return new AttemptResult(reply, new TableResult(messages, call, complete -> releaseConnection(exchange.connection, complete)));
         } finally {
-            if (!passes) {
-                frames.forEach(call::passed);
+            if (!handedOver) {
+                messages.forEach(call::release);
                 call.close();
             }
         }
     }
 
     /** Reads a stream to its end; it must be short. */
-    private static boolean hold(ServerCall<?, byte[]> call, List<byte[]> frames) throws ServerCall.EndedException,
-            ServerCall.NoRoomException, UnfitException, IOException, InterruptedException {
-        int held = 0;
+    private static boolean readAll(UpstreamCall<?, byte[]> call, List<byte[]> messages) throws UpstreamCall.EndedException,
+            UpstreamCall.BudgetExceededException, UnsupportedResultException, IOException, InterruptedException {
+        int bufferedBytes = 0;
         while (true) {
             try {
-                byte[] frame = call.next(0);
-                frames.add(frame);
-                Ipc.check(frame);
-                held += frame.length;
-                if (held > MOST_HELD) {
-                    throw new UnfitException();
+                byte[] message = call.next(0);
+                messages.add(message);
+                ArrowIpc.validate(message);
+                bufferedBytes += message.length;
+                if (bufferedBytes > MAX_BUFFERED_BYTES) {
+                    throw new UnsupportedResultException();
                 }
-            } catch (ServerCall.EndedException e) {
+            } catch (UpstreamCall.EndedException e) {
                 if (e.fromServer && e.status.isOk()) {
                     return true;
                 }
@@ -322,22 +322,22 @@
     }
 
     /** Reads a stream up to its first batch; whether it has ended well with that, as far as is known now. */
-    private static boolean begin(ServerCall<?, byte[]> call, List<byte[]> frames) throws ServerCall.EndedException,
-            ServerCall.NoRoomException, IOException, InterruptedException {
+    private static boolean readFirstBatch(UpstreamCall<?, byte[]> call, List<byte[]> messages) throws UpstreamCall.EndedException,
+            UpstreamCall.BudgetExceededException, IOException, InterruptedException {
         while (true) {
             try {
-                frames.add(call.next(0));
-            } catch (ServerCall.EndedException e) {
+                messages.add(call.next(0));
+            } catch (UpstreamCall.EndedException e) {
                 if (e.fromServer && e.status.isOk()) {
                     return true; // a table without rows
                 }
                 throw e;
             }
-            if (Ipc.check(frames.get(frames.size() - 1)) == MessageHeader.RecordBatch) {
+            if (ArrowIpc.validate(messages.get(messages.size() - 1)) == MessageHeader.RecordBatch) {
                 if (!call.ended()) {
                     return false;
                 }
-                ServerCall.EndedException end = call.end();
+                UpstreamCall.EndedException end = call.endException();
                 if (end.fromServer && end.status.isOk()) {
                     return true;
                 }
@@ -354,17 +354,17 @@
     /** A plan of the statement that shows the load: one short call, whose headers or trailers tell it. */
     @Override
     public Reply probe(Attempt attempt) {
-        return use(attempt, use -> {
-            use.one(use.call(FlightServiceGrpc.getGetFlightInfoMethod(), descriptor(Any.pack(CommandStatementQuery
-                    .newBuilder().setQueryBytes(ByteString.copyFrom(PROBE)).build())), FlightInfo::getSerializedSize));
-            use.attempt.complete();
-            use.clean = true;
-            return ended(use.told.reply(use.told.hasReport() ? Outcome.OK : Outcome.ERROR));
+        return withConnection(attempt, exchange -> {
+            exchange.readSingle(exchange.startCall(FlightServiceGrpc.getGetFlightInfoMethod(), descriptor(Any.pack(CommandStatementQuery
+                    .newBuilder().setQueryBytes(ByteString.copyFrom(PROBE_SQL)).build())), FlightInfo::getSerializedSize));
+            exchange.attempt.complete();
+            exchange.reusable = true;
+            return withoutResult(exchange.serverStatus.toReply(exchange.serverStatus.hasReport() ? Outcome.OK : Outcome.ERROR));
         }).reply();
     }
 
     @Override
-    public void closeIdle(long store) {
-        idle.closeAll(store);
+    public void closeIdle(long serverId) {
+        idleConnections.closeAll(serverId);
     }
 }
--- a/flight/src/main/java/holdmux/flight/Raw.java
+++ b/flight/src/main/java/holdmux/flight/RawMethods.java
@@ -17,19 +17,19 @@
  * Flight's streams with their messages left as bytes: a table passes through without being decoded, so that every vector
  * type, dictionary and compression passes unchanged, and a message is copied once in and once out.
  */
-final class Raw {
+final class RawMethods {
     /** The service's methods that carry {@link FlightData}. */
     static final MethodDescriptor<Ticket, byte[]> DO_GET = FlightServiceGrpc.getDoGetMethod()
-            .toBuilder(FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(), new Bytes()).build();
+            .toBuilder(FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(), new ByteArrayMarshaller()).build();
     static final MethodDescriptor<byte[], Flight.PutResult> DO_PUT = FlightServiceGrpc.getDoPutMethod()
-            .toBuilder(new Bytes(), FlightServiceGrpc.getDoPutMethod().getResponseMarshaller()).build();
+            .toBuilder(new ByteArrayMarshaller(), FlightServiceGrpc.getDoPutMethod().getResponseMarshaller()).build();
 
-    private Raw() {}
+    private RawMethods() {}
 
-    private static final class Bytes implements MethodDescriptor.Marshaller<byte[]> {
+    private static final class ByteArrayMarshaller implements MethodDescriptor.Marshaller<byte[]> {
         @Override
         public InputStream stream(byte[] message) {
-            return new Message(message);
+            return new ByteArrayMessage(message);
         }
 
         @Override
@@ -37,8 +37,8 @@
             try {
                 // its length was checked against the largest message taken
                 byte[] message = new byte[stream.available()];
-                int got = stream.readNBytes(message, 0, message.length);
-                if (got < message.length || stream.read() >= 0) {
+                int read = stream.readNBytes(message, 0, message.length);
+                if (read < message.length || stream.read() >= 0) {
                     throw new IOException("a message of another length than told");
                 }
                 return message;
@@ -49,8 +49,8 @@
     }
 
     /** Tells gRPC its length and writes itself in one go. */
-    private static final class Message extends ByteArrayInputStream implements KnownLength, Drainable {
-        Message(byte[] bytes) {
+    private static final class ByteArrayMessage extends ByteArrayInputStream implements KnownLength, Drainable {
+        ByteArrayMessage(byte[] bytes) {
             super(bytes);
         }
 
--- a/flight/src/main/java/holdmux/flight/Figures.java
+++ b/flight/src/main/java/holdmux/flight/RequestAttributes.java
@@ -5,7 +5,7 @@
 import holdmux.statement.SqlState;
 import holdmux.statement.Statement;
 import holdmux.statement.StatementException;
-import holdmux.statement.Text;
+import holdmux.statement.ChunkedText;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,14 +19,14 @@
  * comment, from headers of the same names, or from both where they agree. Makes the statement of them that the rest of
  * the program knows, with the figures in its comment. No I/O and no clock.
  */
-final class Figures {
+final class RequestAttributes {
     /** The names that a header may carry. */
     static final List<String> NAMES = List.of("id", "c", "d", "cluster", "after", "r");
     /** A comment at the end, and a semicolon that some tools put behind; no star within, so that it is the last one. */
-    private static final Pattern COMMENT = Pattern.compile("/\\*([^*]*)\\*/[\\s;]*\\z");
-    private static final Pattern END = Pattern.compile("[\\s;]*\\z");
+    private static final Pattern TRAILING_COMMENT = Pattern.compile("/\\*([^*]*)\\*/[\\s;]*\\z");
+    private static final Pattern TRAILING_SEMICOLONS = Pattern.compile("[\\s;]*\\z");
 
-    private Figures() {}
+    private RequestAttributes() {}
 
     /**
      * The statement that a text and headers stand for.
@@ -35,36 +35,36 @@
      * @param freshId for a request that names none: a text that is prepared once and run often cannot carry a fresh one
      * @throws StatementException where something is missing, not well-formed, or told twice and differently
      */
-    static Statement statement(String sql, Function<String, String> header, String freshId, Admission admission)
+    static Statement toStatement(String sql, Function<String, String> header, String generatedId, Admission admission)
             throws StatementException {
-        Matcher comment = COMMENT.matcher(sql);
-        boolean has = comment.find();
-        Map<String, String> figures = has ? figures(comment.group(1)) : new LinkedHashMap<>();
-        String body = has ? sql.substring(0, comment.start()) : END.matcher(sql).replaceFirst("");
+        Matcher comment = TRAILING_COMMENT.matcher(sql);
+        boolean hasComment = comment.find();
+        Map<String, String> attributes = hasComment ? parseComment(comment.group(1)) : new LinkedHashMap<>();
+        String body = hasComment ? sql.substring(0, comment.start()) : TRAILING_SEMICOLONS.matcher(sql).replaceFirst("");
         for (String name : NAMES) {
-            String told = header.apply(name);
-            String before = told == null ? null : figures.putIfAbsent(name, value(told));
-            if (before != null && !before.equals(told.strip())) {
+            String headerValue = header.apply(name);
+            String commentValue = headerValue == null ? null : attributes.putIfAbsent(name, checkHeaderValue(headerValue));
+            if (commentValue != null && !commentValue.equals(headerValue.strip())) {
                 throw new StatementException(SqlState.INVALID_PARAMETER_VALUE,
                         "the comment and the headers differ in " + name);
             }
         }
-        figures.putIfAbsent("id", freshId);
-        if (!figures.containsKey("d") && figures.containsKey("c")) {
-            long deadlineNs = admission.type(figures.get("c")).deadlineNs();
-            figures.put("d", Long.toString(Math.max(1, deadlineNs / Clock.MS)));
+        attributes.putIfAbsent("id", generatedId);
+        if (!attributes.containsKey("d") && attributes.containsKey("c")) {
+            long deadlineNs = admission.requestClass(attributes.get("c")).deadlineNs();
+            attributes.put("d", Long.toString(Math.max(1, deadlineNs / Clock.MS)));
         }
         StringBuilder text = new StringBuilder(body.stripTrailing()).append(" /* ");
-        figures.forEach((name, value) -> text.append(name).append('=').append(value).append(','));
-        if (!figures.isEmpty()) {
+        attributes.forEach((name, value) -> text.append(name).append('=').append(value).append(','));
+        if (!attributes.isEmpty()) {
             text.setLength(text.length() - 1);
         }
         byte[] bytes = text.append(" */").toString().getBytes(StandardCharsets.UTF_8);
-        return Statement.parse(Text.of(bytes, bytes.length));
+        return Statement.parse(ChunkedText.of(bytes, bytes.length));
     }
 
     /** What a header holds goes into the comment, so it must not end it or begin another figure. */
-    private static String value(String header) throws StatementException {
+    private static String checkHeaderValue(String header) throws StatementException {
         String value = header.strip();
         if (value.isEmpty() || value.chars().anyMatch(c -> c <= ' ' || c > '~' || c == ',' || c == '*' || c == '=')) {
             throw new StatementException(SqlState.INVALID_PARAMETER_VALUE, "a header's value is not well-formed");
@@ -72,17 +72,17 @@
         return value;
     }
 
-    private static Map<String, String> figures(String comment) throws StatementException {
-        Map<String, String> figures = new LinkedHashMap<>();
+    private static Map<String, String> parseComment(String comment) throws StatementException {
+        Map<String, String> attributes = new LinkedHashMap<>();
         for (String pair : comment.split(",", -1)) {
             int equals = pair.indexOf('=');
             if (equals < 0) {
                 throw new StatementException(SqlState.SYNTAX_ERROR, "the comment must hold name=value pairs");
             }
-            if (figures.put(pair.substring(0, equals).strip(), pair.substring(equals + 1).strip()) != null) {
+            if (attributes.put(pair.substring(0, equals).strip(), pair.substring(equals + 1).strip()) != null) {
                 throw new StatementException(SqlState.SYNTAX_ERROR, "the comment names a value twice");
             }
         }
-        return figures;
+        return attributes;
     }
 }
--- a/flight/src/main/java/holdmux/flight/Proof.java
+++ b/flight/src/main/java/holdmux/flight/StatusClassifier.java
@@ -7,22 +7,22 @@
  * What a status says of an attempt, and with which proof; docs/flight-sql.md has it as a table. Only what proves that
  * nothing ran may say so. No I/O and no clock.
  */
-final class Proof {
+final class StatusClassifier {
     /**
      * How the pinned gRPC words what the peer's frames prove: HTTP/2 (RFC 9113, 6.8 and 8.7) lets a client take streams
      * above a GOAWAY's last identifier, and those reset with REFUSED_STREAM, as never processed. gRPC knows that as its
      * internal progress REFUSED and tells it in the words alone, so a test with frames of our own guards each.
      */
     private static final String ABOVE_LAST_STREAM = "Abrupt GOAWAY closed sent stream",
-            NEVER_SENT = "Abrupt GOAWAY closed unsent stream", REFUSED_STREAM = "REFUSED_STREAM";
+            UNSENT_STREAM = "Abrupt GOAWAY closed unsent stream", REFUSED_STREAM = "REFUSED_STREAM";
 
-    private Proof() {}
+    private StatusClassifier() {}
 
     /** Whether the status was made on this side and proves that the server took nothing of the call up. */
     static boolean neverProcessed(Status status, boolean fromServer) {
-        String words = status.getDescription();
-        return !fromServer && status.getCode() == Status.Code.UNAVAILABLE && words != null
-                && (words.contains(ABOVE_LAST_STREAM) || words.contains(NEVER_SENT) || words.contains(REFUSED_STREAM));
+        String description = status.getDescription();
+        return !fromServer && status.getCode() == Status.Code.UNAVAILABLE && description != null
+                && (description.contains(ABOVE_LAST_STREAM) || description.contains(UNSENT_STREAM) || description.contains(REFUSED_STREAM));
     }
 
     /**
--- a/flight/src/main/java/holdmux/flight/Statuses.java
+++ b/flight/src/main/java/holdmux/flight/Statuses.java
@@ -21,23 +21,23 @@
     private Statuses() {}
 
     /** Refused: nothing ran; {@code waitNs}: come again after so long, 0 for no advice. */
-    static StatusRuntimeException refused(String words, long waitNs) {
-        return status(Code.RESOURCE_EXHAUSTED, "REFUSED", words, waitNs);
+    static StatusRuntimeException refused(String message, long retryDelayNs) {
+        return status(Code.RESOURCE_EXHAUSTED, "REFUSED", message, retryDelayNs);
     }
 
     /** This pooler is about to end or sends its clients away: nothing ran, another can take it. */
-    static StatusRuntimeException ending() {
+    static StatusRuntimeException shuttingDown() {
         return status(Code.UNAVAILABLE, "ENDING", "this pooler is about to end", 0);
     }
 
     /** This pooler takes nothing now, for this reason: nothing ran, another can take it. */
-    static StatusRuntimeException closed(String why) {
-        return status(Code.UNAVAILABLE, "CLOSED", why, 0);
+    static StatusRuntimeException closed(String reason) {
+        return status(Code.UNAVAILABLE, "CLOSED", reason, 0);
     }
 
     /** Failed: it may have taken effect. */
-    static StatusRuntimeException failed(String words) {
-        return status(Code.UNKNOWN, "FAILED", words, -1);
+    static StatusRuntimeException failed(String message) {
+        return status(Code.UNKNOWN, "FAILED", message, -1);
     }
 
     /** Bad input: it reached no server, and would not the next time. */
@@ -45,27 +45,27 @@
         return status(Code.INVALID_ARGUMENT, e.sqlState, e.getMessage(), -1);
     }
 
-    static StatusRuntimeException badInput(String words) {
-        return status(Code.INVALID_ARGUMENT, "BAD_INPUT", words, -1);
+    static StatusRuntimeException badInput(String message) {
+        return status(Code.INVALID_ARGUMENT, "BAD_INPUT", message, -1);
     }
 
     /** A ticket that cannot be redeemed; says nothing of the request that it stood for. */
-    static StatusRuntimeException badTicket(Tickets.RefusedException e) {
-        return status(e.fault == Tickets.Fault.FORGED ? Code.INVALID_ARGUMENT : Code.NOT_FOUND,
-                "TICKET_" + e.fault, e.getMessage(), -1);
+    static StatusRuntimeException badTicket(Tickets.InvalidTicketException e) {
+        return status(e.reason == Tickets.RejectReason.FORGED ? Code.INVALID_ARGUMENT : Code.NOT_FOUND,
+                "TICKET_" + e.reason, e.getMessage(), -1);
     }
 
-    static StatusRuntimeException notOffered(String what) {
-        return status(Code.UNIMPLEMENTED, "NOT_OFFERED", what + " is not offered here", -1);
+    static StatusRuntimeException unsupported(String feature) {
+        return status(Code.UNIMPLEMENTED, "NOT_OFFERED", feature + " is not offered here", -1);
     }
 
-    private static StatusRuntimeException status(Code code, String reason, String words, long waitNs) {
+    private static StatusRuntimeException status(Code code, String reason, String message, long retryDelayNs) {
         com.google.rpc.Status.Builder status = com.google.rpc.Status.newBuilder().setCode(code.getNumber())
-                .setMessage(words)
+                .setMessage(message)
                 .addDetails(Any.pack(ErrorInfo.newBuilder().setReason(reason).setDomain(DOMAIN).build()));
-        if (waitNs >= 0) {
-            long waitMs = (waitNs + Clock.MS - 1) / Clock.MS;
-            status.addDetails(Any.pack(RetryInfo.newBuilder().setRetryDelay(Durations.fromMillis(waitMs)).build()));
+        if (retryDelayNs >= 0) {
+            long retryDelayMs = (retryDelayNs + Clock.MS - 1) / Clock.MS;
+            status.addDetails(Any.pack(RetryInfo.newBuilder().setRetryDelay(Durations.fromMillis(retryDelayMs)).build()));
         }
         return StatusProto.toStatusRuntimeException(status.build());
     }
--- a/flight/src/main/java/holdmux/flight/Table.java
+++ b/flight/src/main/java/holdmux/flight/TableResult.java
@@ -1,6 +1,6 @@
 package holdmux.flight;
 
-import holdmux.core.Value;
+import holdmux.core.QueryResult;
 import io.grpc.Status;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -8,37 +8,37 @@
 import java.util.List;
 
 /** A table as Flight's messages: those that have come, and the call that gives the rest; null where all have come. */
-final class Table implements Value {
+final class TableResult implements QueryResult {
     /** Ends the use of the server's connection; true if all of the answer came. */
-    interface Release {
-        void release(boolean whole);
+    interface CloseListener {
+        void onClose(boolean complete);
     }
 
-    private final Deque<byte[]> come;
-    private final ServerCall<?, byte[]> rest;
-    private final Release release;
+    private final Deque<byte[]> received;
+    private final UpstreamCall<?, byte[]> call;
+    private final CloseListener closeListener;
     /** The message passed on last and the one before: both may still wait to be written. */
-    private byte[] last, before;
-    private boolean whole;
+    private byte[] last, previous;
+    private boolean complete;
 
     /** A table of which all has come; nothing is held for it. */
-    Table(List<byte[]> frames) {
-        this(frames, null, w -> { });
+    TableResult(List<byte[]> messages) {
+        this(messages, null, w -> { });
     }
 
     /** {@code come} are messages of the call that its reader has not passed on yet. */
-    Table(List<byte[]> come, ServerCall<?, byte[]> rest, Release release) {
-        this.come = new ArrayDeque<>(come);
-        this.rest = rest;
-        this.release = release;
+    TableResult(List<byte[]> received, UpstreamCall<?, byte[]> call, CloseListener closeListener) {
+        this.received = new ArrayDeque<>(received);
+        this.call = call;
+        this.closeListener = closeListener;
     }
 
     /** The messages of a table that has come whole. */
-    List<byte[]> frames() {
-        if (rest != null) {
+    List<byte[]> messages() {
+        if (call != null) {
             throw new IllegalStateException("a table that is still on its way");
         }
-        return List.copyOf(come);
+        return List.copyOf(received);
     }
 
     /**
@@ -48,23 +48,23 @@
      * @throws IOException if the server cut it off
      */
     byte[] next() throws IOException {
-        passedOn(before);
-        before = last;
-        last = come.poll();
+        releaseMessage(previous);
+        previous = last;
+        last = received.poll();
         try {
-            if (last == null && rest != null) {
-                last = rest.next(FlightLimits.STALL_MS);
-                Ipc.check(last);
+            if (last == null && call != null) {
+                last = call.next(FlightLimits.STALL_TIMEOUT_MS);
+                ArrowIpc.validate(last);
             }
-            whole |= last == null;
+            complete |= last == null;
             return last;
-        } catch (ServerCall.EndedException e) {
+        } catch (UpstreamCall.EndedException e) {
             if (e.fromServer && e.status.getCode() == Status.Code.OK) {
-                whole = true;
+                complete = true;
                 return null;
             }
             throw new IOException("the server cut the table off: " + e.getMessage(), e);
-        } catch (ServerCall.NoRoomException e) {
+        } catch (UpstreamCall.BudgetExceededException e) {
             throw new IOException("no room for more of the table", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -72,23 +72,23 @@
         }
     }
 
-    private void passedOn(byte[] frame) {
-        if (frame != null && rest != null) {
-            rest.passed(frame);
+    private void releaseMessage(byte[] message) {
+        if (message != null && call != null) {
+            call.release(message);
         }
     }
 
     @Override
     public void close() {
-        passedOn(before);
-        passedOn(last);
-        if (rest != null) {
-            come.forEach(rest::passed);
-            come.clear();
-            if (!whole) {
-                rest.close();
+        releaseMessage(previous);
+        releaseMessage(last);
+        if (call != null) {
+            received.forEach(call::release);
+            received.clear();
+            if (!complete) {
+                call.close();
             }
         }
-        release.release(whole);
+        closeListener.onClose(complete);
     }
 }
--- a/flight/src/main/java/holdmux/flight/Tickets.java
+++ b/flight/src/main/java/holdmux/flight/Tickets.java
@@ -17,7 +17,7 @@
  */
 final class Tickets {
     /** Why a ticket is not taken; none of them reaches a server. */
-    enum Fault {
+    enum RejectReason {
         /** Not one of this process's own: made up, spoilt, or from before a restart. */
         FORGED,
         /** Its time is over. */
@@ -27,89 +27,89 @@
     }
 
     /** A ticket that is not taken. */
-    static final class RefusedException extends Exception {
+    static final class InvalidTicketException extends Exception {
         private static final long serialVersionUID = 1L;
-        final Fault fault;
+        final RejectReason reason;
 
-        private RefusedException(Fault fault) {
-            super("the ticket is " + fault.name().toLowerCase(java.util.Locale.ROOT), null, false, false);
-            this.fault = fault;
+        private InvalidTicketException(RejectReason reason) {
+            super("the ticket is " + reason.name().toLowerCase(java.util.Locale.ROOT), null, false, false);
+            this.reason = reason;
         }
     }
 
     /** Layout: version, number, end, the statement's bytes, the seal over all of them. */
     private static final byte VERSION = 1;
-    private static final int HEAD = 1 + 2 * Long.BYTES, SEAL = 32;
+    private static final int HEADER_BYTES = 1 + 2 * Long.BYTES, MAC_BYTES = 32;
     private static final String ALGORITHM = "HmacSHA256";
 
-    private final Mac keyed;
-    private final int most;
-    private final long lifeNs;
+    private final Mac macTemplate;
+    private final int maxOutstanding;
+    private final long lifetimeNs;
     /** Numbers of the tickets that are out with when they end; all live equally long, so the oldest end first. */
-    private final Map<Long, Long> out = new LinkedHashMap<>();
+    private final Map<Long, Long> outstanding = new LinkedHashMap<>();
     private long lastNumber;
 
     /** {@code most}: tickets out at once; {@code lifeNs}: how long each can be redeemed. */
-    Tickets(byte[] key, int most, long lifeNs) {
+    Tickets(byte[] key, int maxOutstanding, long lifetimeNs) {
         try {
-            keyed = Mac.getInstance(ALGORITHM);
-            keyed.init(new SecretKeySpec(key, ALGORITHM));
+            macTemplate = Mac.getInstance(ALGORITHM);
+            macTemplate.init(new SecretKeySpec(key, ALGORITHM));
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException("every Java has " + ALGORITHM, e);
         }
-        this.most = most;
-        this.lifeNs = lifeNs;
+        this.maxOutstanding = maxOutstanding;
+        this.lifetimeNs = lifetimeNs;
     }
 
     /** A ticket for this statement; null at the cap. */
     synchronized byte[] issue(byte[] statement, long now) {
-        dropEnded(now);
-        if (out.size() >= most) {
+        removeExpired(now);
+        if (outstanding.size() >= maxOutstanding) {
             return null;
         }
         long number = ++lastNumber;
-        out.put(number, now + lifeNs);
-        ByteBuffer ticket = ByteBuffer.allocate(HEAD + statement.length + SEAL).put(VERSION).putLong(number)
-                .putLong(now + lifeNs).put(statement);
-        return ticket.put(seal(ticket.array(), HEAD + statement.length)).array();
+        outstanding.put(number, now + lifetimeNs);
+        ByteBuffer ticket = ByteBuffer.allocate(HEADER_BYTES + statement.length + MAC_BYTES).put(VERSION).putLong(number)
+                .putLong(now + lifetimeNs).put(statement);
+        return ticket.put(computeMac(ticket.array(), HEADER_BYTES + statement.length)).array();
     }
 
     /** The statement of a ticket, which is used up with that. */
-    byte[] redeem(byte[] ticket, long now) throws RefusedException {
-        int sealed = ticket.length - SEAL;
-        if (sealed < HEAD || ticket[0] != VERSION
-                || !MessageDigest.isEqual(seal(ticket, sealed), Arrays.copyOfRange(ticket, sealed, ticket.length))) {
-            throw new RefusedException(Fault.FORGED);
+    byte[] redeem(byte[] ticket, long now) throws InvalidTicketException {
+        int macOffset = ticket.length - MAC_BYTES;
+        if (macOffset < HEADER_BYTES || ticket[0] != VERSION
+                || !MessageDigest.isEqual(computeMac(ticket, macOffset), Arrays.copyOfRange(ticket, macOffset, ticket.length))) {
+            throw new InvalidTicketException(RejectReason.FORGED);
         }
-        ByteBuffer head = ByteBuffer.wrap(ticket, 1, HEAD);
-        long number = head.getLong();
-        long endsAt = head.getLong();
-        if (endsAt - now <= 0) {
-            throw new RefusedException(Fault.ENDED);
+        ByteBuffer header = ByteBuffer.wrap(ticket, 1, HEADER_BYTES);
+        long number = header.getLong();
+        long expiresAt = header.getLong();
+        if (expiresAt - now <= 0) {
+            throw new InvalidTicketException(RejectReason.ENDED);
         }
         synchronized (this) {
-            if (out.remove(number) == null) {
-                throw new RefusedException(Fault.USED);
+            if (outstanding.remove(number) == null) {
+                throw new InvalidTicketException(RejectReason.USED);
             }
         }
-        return Arrays.copyOfRange(ticket, HEAD, sealed);
+        return Arrays.copyOfRange(ticket, HEADER_BYTES, macOffset);
     }
 
     /** How many are out. */
-    synchronized int out(long now) {
-        dropEnded(now);
-        return out.size();
+    synchronized int outstanding(long now) {
+        removeExpired(now);
+        return outstanding.size();
     }
 
-    private void dropEnded(long now) {
-        for (Iterator<Long> ends = out.values().iterator(); ends.hasNext() && ends.next() - now <= 0;) {
-            ends.remove();
+    private void removeExpired(long now) {
+        for (Iterator<Long> expirations = outstanding.values().iterator(); expirations.hasNext() && expirations.next() - now <= 0;) {
+            expirations.remove();
         }
     }
 
-    private byte[] seal(byte[] bytes, int length) {
+    private byte[] computeMac(byte[] bytes, int length) {
         try {
-            Mac mac = (Mac) keyed.clone(); // the key's own blocks are hashed once
+            Mac mac = (Mac) macTemplate.clone(); // the key's own blocks are hashed once
             mac.update(bytes, 0, length);
             return mac.doFinal();
         } catch (CloneNotSupportedException e) {
--- a/flight/src/main/java/holdmux/flight/ServerCall.java
+++ b/flight/src/main/java/holdmux/flight/UpstreamCall.java
@@ -16,14 +16,14 @@
  * One call to a server, read by a thread that blocks: a message or two come ahead of the one that is passed
  * on, never more. Notes what the server tells of itself and what proves whether it took the request up.
  */
-final class ServerCall<Q, A> extends ClientCall.Listener<A> {
+final class UpstreamCall<Q, A> extends ClientCall.Listener<A> {
     /** The first message is a schema or a small table; later ones are guessed by the one before. */
-    private static final long FIRST_GUESS = 64 * 1024;
+    private static final long INITIAL_EXPECTED_BYTES = 64 * 1024;
     /** Waiting longer for room helps no answer, as with the other protocol's buffers. */
-    private static final long ROOM_MS = 100;
+    private static final long MEMORY_WAIT_MS = 100;
     /** Messages that may wait here for their reader: one comes in while one goes out. */
-    private static final int AHEAD = 2;
-    private static final List<Metadata.Key<String>> TOLD = List.of(ServerStatus.ROLE, ServerStatus.POSITION,
+    private static final int MAX_RECEIVED = 2;
+    private static final List<Metadata.Key<String>> STATUS_KEYS = List.of(ServerStatus.ROLE, ServerStatus.POSITION,
             ServerStatus.REPORT).stream().map(n -> Metadata.Key.of(n, Metadata.ASCII_STRING_MARSHALLER)).toList();
 
     /** The call is over; with status OK where all of it came. */
@@ -41,45 +41,45 @@
     }
 
     /** There is no room in this process for what would come; says nothing of the server. */
-    static final class NoRoomException extends Exception {
+    static final class BudgetExceededException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NoRoomException() {
+        BudgetExceededException() {
             super("no room", null, false, false);
         }
     }
 
     private final ClientCall<Q, A> call;
-    private final ServerStatus told;
-    private final Budget budget;
-    private final ToLongFunction<A> size;
-    private final ArrayDeque<A> come = new ArrayDeque<>(2);
-    private long guess = FIRST_GUESS;
+    private final ServerStatus serverStatus;
+    private final MemoryBudget budget;
+    private final ToLongFunction<A> sizeOf;
+    private final ArrayDeque<A> received = new ArrayDeque<>(2);
+    private long expectedBytes = INITIAL_EXPECTED_BYTES;
     /** Reserved for the message that is asked for and has not come; 0 for none. */
-    private long asked;
+    private long reservedBytes;
     private Status status;
     private boolean closed;
-    private volatile boolean created, fromServer;
+    private volatile boolean streamCreated, fromServer;
 
     /**
      * Starts a call of one request.
      *
      * @param sending runs right before the request's bytes go out: from then on it may run
      */
-    ServerCall(Channel channel, MethodDescriptor<Q, A> method, Q request, ServerStatus told, Budget budget,
-            ToLongFunction<A> size, Runnable sending) {
-        this.told = told;
+    UpstreamCall(Channel channel, MethodDescriptor<Q, A> method, Q request, ServerStatus serverStatus, MemoryBudget budget,
+            ToLongFunction<A> sizeOf, Runnable beforeSend) {
+        this.serverStatus = serverStatus;
         this.budget = budget;
-        this.size = size;
+        this.sizeOf = sizeOf;
         ClientStreamTracer tracer = new ClientStreamTracer() {
             @Override
             public void streamCreated(io.grpc.Attributes transport, Metadata headers) {
-                created = true;
+                streamCreated = true;
             }
 
             @Override
             public void outboundMessage(int number) {
-                sending.run();
+                beforeSend.run();
             }
 
             @Override
@@ -100,14 +100,14 @@
 
     @Override
     public void onHeaders(Metadata headers) {
-        note(headers);
+        recordStatus(headers);
     }
 
-    private synchronized void note(Metadata from) {
-        for (Metadata.Key<String> name : TOLD) {
-            String value = from.get(name);
+    private synchronized void recordStatus(Metadata metadata) {
+        for (Metadata.Key<String> name : STATUS_KEYS) {
+            String value = metadata.get(name);
             if (value != null) {
-                told.put(name.originalName(), value);
+                serverStatus.put(name.originalName(), value);
             }
         }
     }
@@ -118,39 +118,39 @@
             if (closed) {
                 return; // what was asked for is given back at the end
             }
-            long length = size.applyAsLong(message);
-            budget.adjust(length - asked);
-            asked = 0;
-            guess = length;
-            come.add(message);
+            long length = sizeOf.applyAsLong(message);
+            budget.adjust(length - reservedBytes);
+            reservedBytes = 0;
+            expectedBytes = length;
+            received.add(message);
             notifyAll();
         }
-        askAhead();
+        requestAhead();
     }
 
     @Override
-    public void onClose(Status as, Metadata trailers) {
-        note(trailers);
+    public void onClose(Status closeStatus, Metadata trailers) {
+        recordStatus(trailers);
         synchronized (this) {
-            status = as;
-            budget.give(asked);
-            asked = 0;
+            status = closeStatus;
+            budget.release(reservedBytes);
+            reservedBytes = 0;
             notifyAll();
         }
     }
 
     /** Whether the call found a connection that stands. */
-    boolean created() {
-        return created;
+    boolean streamCreated() {
+        return streamCreated;
     }
 
     /** Whether it is over and all that came has been read. */
     synchronized boolean ended() {
-        return status != null && come.isEmpty();
+        return status != null && received.isEmpty();
     }
 
     /** The status of a call that has {@link #ended}. */
-    synchronized EndedException end() {
+    synchronized EndedException endException() {
         return new EndedException(status, fromServer);
     }
 
@@ -160,61 +160,61 @@
      *
      * @param silentMs the server may give nothing for so long, 0 for ever
      */
-    A next(long silentMs) throws EndedException, NoRoomException, InterruptedException {
-        askNow(silentMs == 0 ? ROOM_MS : silentMs);
-        long by = System.nanoTime() + silentMs * 1_000_000L;
+    A next(long timeoutMs) throws EndedException, BudgetExceededException, InterruptedException {
+        requestNext(timeoutMs == 0 ? MEMORY_WAIT_MS : timeoutMs);
+        long deadline = System.nanoTime() + timeoutMs * 1_000_000L;
         A message;
         synchronized (this) {
-            while (come.isEmpty() && status == null) {
-                long left = silentMs == 0 ? 0 : (by - System.nanoTime()) / 1_000_000L;
-                if (silentMs > 0 && left <= 0) {
+            while (received.isEmpty() && status == null) {
+                long remainingMs = timeoutMs == 0 ? 0 : (deadline - System.nanoTime()) / 1_000_000L;
+                if (timeoutMs > 0 && remainingMs <= 0) {
                     throw new EndedException(Status.DEADLINE_EXCEEDED.withDescription("the server fell silent"), false);
                 }
-                wait(left);
+                wait(remainingMs);
             }
-            if (come.isEmpty()) {
-                throw end();
+            if (received.isEmpty()) {
+                throw endException();
             }
-            message = come.poll();
+            message = received.poll();
         }
-        askAhead();
+        requestAhead();
         return message;
     }
 
     /** A message that {@link #next} gave is no longer held here. */
-    void passed(A message) {
-        budget.give(size.applyAsLong(message));
+    void release(A message) {
+        budget.release(sizeOf.applyAsLong(message));
     }
 
     /** Asks for one more message where there is room now, so that the server need not wait for the client. */
-    private void askAhead() {
+    private void requestAhead() {
         synchronized (this) {
-            if (asked > 0 || status != null || closed || come.size() >= AHEAD || !budget.tryTake(guess)) {
+            if (reservedBytes > 0 || status != null || closed || received.size() >= MAX_RECEIVED || !budget.tryReserve(expectedBytes)) {
                 return;
             }
-            asked = guess;
+            reservedBytes = expectedBytes;
         }
         call.request(1);
     }
 
     /** Asks for the message that is needed now, where none is on its way; waits so long for room. */
-    private void askNow(long waitMs) throws NoRoomException, InterruptedException {
-        long room;
+    private void requestNext(long waitMs) throws BudgetExceededException, InterruptedException {
+        long bytes;
         synchronized (this) {
-            if (asked > 0 || status != null || !come.isEmpty()) {
+            if (reservedBytes > 0 || status != null || !received.isEmpty()) {
                 return;
             }
-            room = guess;
+            bytes = expectedBytes;
         }
-        if (!budget.take(room, waitMs)) {
-            throw new NoRoomException();
+        if (!budget.reserve(bytes, waitMs)) {
+            throw new BudgetExceededException();
         }
         synchronized (this) {
-            if (asked > 0 || status != null || closed) {
-                budget.give(room);
+            if (reservedBytes > 0 || status != null || closed) {
+                budget.release(bytes);
                 return;
             }
-            asked = room;
+            reservedBytes = bytes;
         }
         call.request(1);
     }
@@ -224,10 +224,10 @@
         call.cancel("given up", null);
         synchronized (this) {
             closed = true;
-            come.forEach(this::passed);
-            come.clear();
-            budget.give(asked);
-            asked = 0;
+            received.forEach(this::release);
+            received.clear();
+            budget.release(reservedBytes);
+            reservedBytes = 0;
         }
     }
 }
--- a/flight/src/test/java/holdmux/flight/Rig.java
+++ b/flight/src/test/java/holdmux/flight/FlightFixture.java
@@ -28,23 +28,23 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /** A pooler with both fronts before a stand-in group of three servers, and a client of each protocol. */
-final class Rig implements AutoCloseable {
+final class FlightFixture implements AutoCloseable {
     static final String SERVED = "served", REFUSED = "refused", FAILED = "failed", BAD = "bad input", LEFT = "left";
 
     final StandIns standIns = new StandIns();
     final Pooler pooler;
-    final FlightPart part;
+    final FlightExtension part;
     final BufferAllocator allocator = new RootAllocator();
     private final int pgPort = StandIns.freePort();
     private final int flightPort = StandIns.freePort();
     private FlightSqlClient client;
 
     /** Its servers are of this kind: s-1, the primary, and the replicas s-2 and s-3. */
-    Rig(String kind) throws IOException {
+    FlightFixture(String kind) throws IOException {
         this(kind, 256);
     }
 
-    Rig(String kind, int memoryMb) throws IOException {
+    FlightFixture(String kind, int memoryMb) throws IOException {
         for (String name : List.of("s-1", "s-2", "s-3")) {
             standIns.start(name, kind);
         }
@@ -53,30 +53,30 @@
         Clock clock = new Clock();
         Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()), clock.now());
         Files.delete(file);
-        part = new FlightPart(new InetSocketAddress("127.0.0.1", flightPort), Set.of(StandIns.FLIGHT_KIND));
+        part = new FlightExtension(new InetSocketAddress("127.0.0.1", flightPort), Set.of(StandIns.FLIGHT_KIND));
         pooler = new Pooler(config, List.of(part), clock);
-        pooler.begin();
+        pooler.start();
         pooler.fronts().listen();
-        Workers.thread("front", () -> {
+        Workers.newThread("front", () -> {
             try {
                 pooler.run();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         }).start();
-        standIns.list("s-1", "up"); // news, so that the first watch ends at once
+        standIns.setHealth("s-1", "up"); // news, so that the first watch ends at once
         await(pooler::isReady);
     }
 
-    long get(Counter counter) {
+    long counter(Counter counter) {
         return pooler.services().counters().get(counter);
     }
 
     /** Waits until something holds; fails if it does not within any time that a test may take. */
-    static void await(BooleanSupplier holds) {
-        long by = System.nanoTime() + 15_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > by) {
+    static void await(BooleanSupplier condition) {
+        long deadline = System.nanoTime() + 15_000_000_000L;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadline) {
                 throw new AssertionError("waited in vain");
             }
             pause();
@@ -112,7 +112,7 @@
     }
 
     /** Asks over Flight SQL; how that ended. */
-    String flight(String sql) {
+    String queryFlight(String sql) {
         try {
             FlightInfo info = client().execute(sql);
             try (FlightStream stream = client().getStream(info.getEndpoints().get(0).getTicket())) {
@@ -122,13 +122,13 @@
             }
             return SERVED;
         } catch (FlightRuntimeException e) {
-            return ending(e);
+            return resultOf(e);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    static String ending(FlightRuntimeException e) {
+    static String resultOf(FlightRuntimeException e) {
         return switch (e.status().code()) {
             case RESOURCE_EXHAUSTED -> REFUSED;
             case UNKNOWN -> FAILED;
@@ -139,7 +139,7 @@
     }
 
     /** Asks over Flight SQL and leaves once the request has come to a server and, if it does, run. */
-    String flightLeaving(String sql, Runnable awaitAsked) throws Exception {
+    String queryFlightAndCancel(String sql, Runnable awaitReceived) throws Exception {
         FlightInfo info = client().execute(sql);
         FlightStream stream = client().getStream(info.getEndpoints().get(0).getTicket());
         Thread reader = new Thread(() -> {
@@ -150,25 +150,25 @@
             }
         });
         reader.start();
-        awaitAsked.run();
+        awaitReceived.run();
         stream.cancel("leaving", null);
         reader.join();
         stream.close();
         return LEFT;
     }
 
-    private Socket pgConnect() throws IOException {
+    private Socket connectPg() throws IOException {
         Socket socket = new Socket("127.0.0.1", pgPort);
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-        byte[] names = "user\0portal\0database\0crm\0\0".getBytes(StandardCharsets.US_ASCII);
-        out.writeInt(8 + names.length);
+        byte[] startupParameters = "user\0portal\0database\0crm\0\0".getBytes(StandardCharsets.US_ASCII);
+        out.writeInt(8 + startupParameters.length);
         out.writeInt(196_608);
-        out.write(names);
-        read(new DataInputStream(socket.getInputStream()));
+        out.write(startupParameters);
+        readUntilReady(new DataInputStream(socket.getInputStream()));
         return socket;
     }
 
-    private static void send(Socket socket, String sql) throws IOException {
+    private static void sendQuery(Socket socket, String sql) throws IOException {
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
         byte[] text = sql.getBytes(StandardCharsets.UTF_8);
         out.writeByte('Q');
@@ -179,7 +179,7 @@
     }
 
     /** Up to ReadyForQuery: the SQLSTATE of an error, or null. */
-    private static String read(DataInputStream in) throws IOException {
+    private static String readUntilReady(DataInputStream in) throws IOException {
         String sqlState = null;
         while (true) {
             char type = (char) in.readByte();
@@ -194,10 +194,10 @@
     }
 
     /** Asks over PostgreSQL; how that ended. */
-    String pg(String sql) throws IOException {
-        try (Socket socket = pgConnect()) {
-            send(socket, sql);
-            String sqlState = read(new DataInputStream(socket.getInputStream()));
+    String queryPg(String sql) throws IOException {
+        try (Socket socket = connectPg()) {
+            sendQuery(socket, sql);
+            String sqlState = readUntilReady(new DataInputStream(socket.getInputStream()));
             return sqlState == null ? SERVED : switch (sqlState) {
                 case "53300" -> REFUSED;
                 case "08007" -> FAILED;
@@ -207,18 +207,18 @@
         }
     }
 
-    String pgLeaving(String sql, Runnable awaitAsked) throws IOException {
-        try (Socket socket = pgConnect()) {
-            send(socket, sql);
-            awaitAsked.run();
+    String queryPgAndDisconnect(String sql, Runnable awaitReceived) throws IOException {
+        try (Socket socket = connectPg()) {
+            sendQuery(socket, sql);
+            awaitReceived.run();
         }
         return LEFT;
     }
 
     /** Waits until nothing is under way here. */
-    void awaitQuiet() {
-        await(() -> get(Counter.SERVED) + get(Counter.REFUSED) + get(Counter.FAILED) + get(Counter.CLIENTS_LEFT)
-                >= get(Counter.REQUESTS_TAKEN));
+    void awaitIdle() {
+        await(() -> counter(Counter.SERVED) + counter(Counter.REFUSED) + counter(Counter.FAILED) + counter(Counter.CLIENTS_LEFT)
+                >= counter(Counter.REQUESTS_TAKEN));
     }
 
     @Override
--- a/flight/src/test/java/holdmux/flight/FlightFrontTest.java
+++ b/flight/src/test/java/holdmux/flight/FlightFrontTest.java
@@ -42,12 +42,12 @@
 /** The front on its own sockets, before stand-in servers, with Arrow's own client. */
 @Timeout(90)
 class FlightFrontTest {
-    private static String write(String id, int waitMs) {
+    private static String writeStatement(String id, int waitMs) {
         return "INSERT INTO facts (code, data) VALUES ('k" + id + "', '\\x9f') RETURNING data /* id=" + id
                 + ",c=save-quote,d=" + waitMs + ",cluster=1 */";
     }
 
-    private static String rates(String id, String size) {
+    private static String ratesQuery(String id, String size) {
         return "SELECT * FROM rates WHERE code = '" + size + "' /* id=" + id + ",c=history,d=1500,cluster=1 */";
     }
 
@@ -56,22 +56,22 @@
     }
 
     /** How a ticket's redemption ended, and how many batches came before. */
-    private static String redeem(FlightSqlClient client, Ticket ticket, AtomicInteger batches) throws Exception {
+    private static String redeem(FlightSqlClient client, Ticket ticket, AtomicInteger batchCount) throws Exception {
         try (FlightStream stream = client.getStream(ticket)) {
             while (stream.next()) {
-                batches.incrementAndGet();
+                batchCount.incrementAndGet();
             }
-            return Rig.SERVED;
+            return FlightFixture.SERVED;
         } catch (FlightRuntimeException e) {
-            return e.status().code() == FlightStatusCode.NOT_FOUND ? "used" : Rig.ending(e);
+            return e.status().code() == FlightStatusCode.NOT_FOUND ? "used" : FlightFixture.resultOf(e);
         }
     }
 
-    private static <T> List<T> together(int threads, List<Callable<T>> work) throws Exception {
+    private static <T> List<T> runConcurrently(int threads, List<Callable<T>> tasks) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<T> results = new ArrayList<>();
-            for (Future<T> future : pool.invokeAll(work)) {
+            for (Future<T> future : pool.invokeAll(tasks)) {
                 results.add(future.get());
             }
             return results;
@@ -84,26 +84,26 @@
     @Test
     void twoHundredThreadsRedeemOneWriteTicketOnce() throws Exception {
         int threads = 200;
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
-            Ticket ticket = ticket(rig.client().execute(write("w1", 3_000)));
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
+            Ticket ticket = ticket(rig.client().execute(writeStatement("w1", 3_000)));
             List<FlightSqlClient> clients = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 clients.add(rig.connect());
             }
             CyclicBarrier start = new CyclicBarrier(threads);
-            List<Callable<String>> work = new ArrayList<>();
+            List<Callable<String>> tasks = new ArrayList<>();
             for (int i = 0; i < threads; i++) {
                 FlightSqlClient client = clients.get(i % clients.size());
-                work.add(() -> {
+                tasks.add(() -> {
                     start.await();
                     return redeem(client, ticket, new AtomicInteger());
                 });
             }
-            List<String> endings = together(threads, work);
-            assertEquals(1, endings.stream().filter(Rig.SERVED::equals).count());
-            assertEquals(threads - 1, endings.stream().filter("used"::equals).count());
-            assertEquals(Map.of("w1", 1), rig.standIns.group().runs());
-            assertEquals(1, rig.get(Counter.REQUESTS_TAKEN));
+            List<String> results = runConcurrently(threads, tasks);
+            assertEquals(1, results.stream().filter(FlightFixture.SERVED::equals).count());
+            assertEquals(threads - 1, results.stream().filter("used"::equals).count());
+            assertEquals(Map.of("w1", 1), rig.standIns.group().runCounts());
+            assertEquals(1, rig.counter(Counter.REQUESTS_TAKEN));
             for (FlightSqlClient client : clients) {
                 client.close();
             }
@@ -112,44 +112,44 @@
 
     /** A table cut off at its server shows as failed, or was read anew whole; it is never a short table. */
     @Test
-    void aTableCutAtAnyBatchIsNeverShort() throws Exception {
+    void truncatedTableIsNeverServedAsComplete() throws Exception {
         int batches = 200;
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
-            List<Callable<String>> work = new ArrayList<>();
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
+            List<Callable<String>> tasks = new ArrayList<>();
             for (int i = 0; i < batches; i++) {
                 String id = "r" + i;
-                rig.standIns.group().plan(id, new Fault(i % 2 == 0 ? Kind.RESET : Kind.ERROR, Phase.MIDWAY, i));
-                work.add(() -> {
-                    AtomicInteger come = new AtomicInteger();
-                    String ending = redeem(rig.client(), ticket(rig.client().execute(rates(id, "200x5"))), come);
-                    return ending.equals(Rig.SERVED) ? "served " + come : ending;
+                rig.standIns.group().planFaults(id, new Fault(i % 2 == 0 ? Kind.RESET : Kind.ERROR, Phase.MIDWAY, i));
+                tasks.add(() -> {
+                    AtomicInteger received = new AtomicInteger();
+                    String result = redeem(rig.client(), ticket(rig.client().execute(ratesQuery(id, "200x5"))), received);
+                    return result.equals(FlightFixture.SERVED) ? "served " + received : result;
                 });
             }
-            List<String> endings = together(2, work);
-            assertTrue(endings.stream().allMatch(e -> e.equals("served 200") || e.equals(Rig.FAILED)
-                    || e.equals(Rig.REFUSED)), endings.toString());
-            assertTrue(endings.stream().filter(Rig.FAILED::equals).count() > batches / 2, endings.toString());
-            assertEquals(0, rig.get(Counter.INTERNAL_ERRORS));
+            List<String> results = runConcurrently(2, tasks);
+            assertTrue(results.stream().allMatch(e -> e.equals("served 200") || e.equals(FlightFixture.FAILED)
+                    || e.equals(FlightFixture.REFUSED)), results.toString());
+            assertTrue(results.stream().filter(FlightFixture.FAILED::equals).count() > batches / 2, results.toString());
+            assertEquals(0, rig.counter(Counter.INTERNAL_ERRORS));
         }
     }
 
     /** A table that no PostgreSQL client can be given has run: failed, counted, never cut to what would fit. */
     @Test
-    void aTableThatIsNoCellFailsOnTheOtherFront() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
-            assertEquals(Rig.FAILED, rig.pg(rates("r1", "2x5")));
-            assertEquals(Rig.FAILED, rig.pg(rates("r2", "300x5000"))); // longer than what is held
-            assertEquals(2, rig.get(Counter.VALUES_UNFIT));
-            assertEquals(2, rig.get(Counter.ATTEMPTS));
+    void tableThatIsNotOneValueFailsOnThePostgresFront() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
+            assertEquals(FlightFixture.FAILED, rig.queryPg(ratesQuery("r1", "2x5")));
+            assertEquals(FlightFixture.FAILED, rig.queryPg(ratesQuery("r2", "300x5000"))); // longer than what is held
+            assertEquals(2, rig.counter(Counter.VALUES_UNFIT));
+            assertEquals(2, rig.counter(Counter.ATTEMPTS));
             assertEquals(0, rig.part.streamBytes());
         }
     }
 
     /** All columns, values and dictionaries of a table pass unchanged, and its schema is known afterwards. */
     @Test
-    void aTablePassesUnchanged() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
-            FlightInfo info = rig.client().execute(rates("r1", "7x100"));
+    void tableIsRelayedUnchanged() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
+            FlightInfo info = rig.client().execute(ratesQuery("r1", "7x100"));
             long sum = 0;
             try (FlightStream stream = rig.client().getStream(ticket(info))) {
                 while (stream.next()) {
@@ -162,7 +162,7 @@
                 }
             }
             assertEquals(700 * 699 / 2, sum);
-            assertEquals(List.of("number", "lender"), rig.client().execute(rates("r2", "9x9")).getSchemaOptional()
+            assertEquals(List.of("number", "lender"), rig.client().execute(ratesQuery("r2", "9x9")).getSchemaOptional()
                     .orElseThrow().getFields().stream().map(Field::getName).toList());
         }
     }
@@ -172,34 +172,34 @@
      * the bound is five give-ups on a busy machine: this does not show that every answer is in time.
      */
     @Test
-    void aWriteWhosePrimaryFallsSilentRunsAtMostOnce() throws Exception {
+    void writeRunsAtMostOnceWhenThePrimaryStopsAnswering() throws Exception {
         int writes = 1_000;
         int waitMs = 400;
         Random random = new Random(42);
         for (String kind : List.of(StandIns.FLIGHT_KIND, StandIns.PG_KIND)) {
-            try (Rig rig = new Rig(kind)) {
-                List<Callable<String>> work = new ArrayList<>();
+            try (FlightFixture rig = new FlightFixture(kind)) {
+                List<Callable<String>> tasks = new ArrayList<>();
                 for (int i = 0; i < writes / 2; i++) {
                     String id = "w" + i;
                     int draw = random.nextInt(12); // one in four meets silence, else nothing would be left to ask
                     if (draw < 3) {
-                        rig.standIns.group().plan(id, Fault.of(Kind.SILENT, Phase.values()[draw]));
+                        rig.standIns.group().planFaults(id, Fault.of(Kind.SILENT, Phase.values()[draw]));
                     }
-                    work.add(() -> {
-                        long from = System.nanoTime();
-                        String ending = rig.flight(write(id, waitMs));
-                        long ms = (System.nanoTime() - from) / 1_000_000;
-                        return ms < 5 * waitMs ? ending : "late";
+                    tasks.add(() -> {
+                        long startNs = System.nanoTime();
+                        String result = rig.queryFlight(writeStatement(id, waitMs));
+                        long elapsedMs = (System.nanoTime() - startNs) / 1_000_000;
+                        return elapsedMs < 5 * waitMs ? result : "late";
                     });
                 }
-                List<String> endings = together(16, work);
-                assertTrue(endings.stream().allMatch(e -> List.of(Rig.SERVED, Rig.FAILED, Rig.REFUSED).contains(e)),
-                        endings.toString());
-                Map<String, Integer> runs = rig.standIns.group().runs();
+                List<String> results = runConcurrently(16, tasks);
+                assertTrue(results.stream().allMatch(e -> List.of(FlightFixture.SERVED, FlightFixture.FAILED, FlightFixture.REFUSED).contains(e)),
+                        results.toString());
+                Map<String, Integer> runs = rig.standIns.group().runCounts();
                 assertTrue(runs.values().stream().allMatch(n -> n == 1), runs.toString());
-                for (int i = 0; i < endings.size(); i++) {
-                    assertTrue(!endings.get(i).equals(Rig.SERVED) || runs.containsKey("w" + i));
-                    assertTrue(!endings.get(i).equals(Rig.REFUSED) || !runs.containsKey("w" + i), "refused, and has run");
+                for (int i = 0; i < results.size(); i++) {
+                    assertTrue(!results.get(i).equals(FlightFixture.SERVED) || runs.containsKey("w" + i));
+                    assertTrue(!results.get(i).equals(FlightFixture.REFUSED) || !runs.containsKey("w" + i), "refused, and has run");
                 }
             }
         }
@@ -207,11 +207,11 @@
 
     /** Nobody may hold a thread and memory for good by not reading: its connection is ended, others go on. */
     @Test
-    void aReaderThatTakesNothingIsCutOff() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND); FlightSqlClient slow = rig.connect()) {
-            try (FlightStream stalled = slow.getStream(ticket(slow.execute(rates("r1", "400x20000"))))) {
-                Rig.await(() -> rig.get(Counter.READERS_CUT) == 1);
-                assertEquals(Rig.SERVED, rig.flight(rates("r2", "3x3")));
+    void clientThatStopsReadingIsDisconnected() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND); FlightSqlClient slow = rig.connect()) {
+            try (FlightStream stalled = slow.getStream(ticket(slow.execute(ratesQuery("r1", "400x20000"))))) {
+                FlightFixture.await(() -> rig.counter(Counter.READERS_CUT) == 1);
+                assertEquals(FlightFixture.SERVED, rig.queryFlight(ratesQuery("r2", "3x3")));
                 assertThrows(FlightRuntimeException.class, () -> {
                     while (stalled.next()) {
                         // what had come before
@@ -223,35 +223,35 @@
 
     /** Beyond the calls that may be open the next is refused at once, nothing of it runs, and room comes back. */
     @Test
-    void callsBeyondTheCapAreRefusedAtOnce() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND, 64)) { // room for 32 calls
+    void callsOverTheLimitAreRefusedImmediately() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND, 64)) { // room for 32 calls
             List<Ticket> tickets = new ArrayList<>();
             for (int i = 0; i < 48; i++) {
                 String id = "r" + i;
-                rig.standIns.group().plan(id, Fault.of(Kind.SILENT, Phase.BEFORE_RUN));
-                tickets.add(ticket(rig.client().execute(rates(id, "1x1").replace("d=1500", "d=600"))));
+                rig.standIns.group().planFaults(id, Fault.of(Kind.SILENT, Phase.BEFORE_RUN));
+                tickets.add(ticket(rig.client().execute(ratesQuery(id, "1x1").replace("d=1500", "d=600"))));
             }
-            List<Callable<String>> work = new ArrayList<>();
-            tickets.forEach(ticket -> work.add(() -> redeem(rig.client(), ticket, new AtomicInteger())));
-            List<String> endings = together(work.size(), work);
-            assertTrue(rig.get(Counter.CALLS_TURNED_AWAY) > 0, rig.pooler.services().counters().toString());
-            assertTrue(endings.stream().allMatch(e -> List.of(Rig.SERVED, Rig.REFUSED, Rig.FAILED).contains(e)),
-                    endings.toString());
-            assertEquals(work.size(), rig.get(Counter.REQUESTS_TAKEN) + rig.get(Counter.CALLS_TURNED_AWAY));
-            Rig.await(() -> rig.flight(rates("after", "1x1")).equals(Rig.SERVED));
+            List<Callable<String>> tasks = new ArrayList<>();
+            tickets.forEach(ticket -> tasks.add(() -> redeem(rig.client(), ticket, new AtomicInteger())));
+            List<String> results = runConcurrently(tasks.size(), tasks);
+            assertTrue(rig.counter(Counter.CALLS_TURNED_AWAY) > 0, rig.pooler.services().counters().toString());
+            assertTrue(results.stream().allMatch(e -> List.of(FlightFixture.SERVED, FlightFixture.REFUSED, FlightFixture.FAILED).contains(e)),
+                    results.toString());
+            assertEquals(tasks.size(), rig.counter(Counter.REQUESTS_TAKEN) + rig.counter(Counter.CALLS_TURNED_AWAY));
+            FlightFixture.await(() -> rig.queryFlight(ratesQuery("after", "1x1")).equals(FlightFixture.SERVED));
         }
     }
 
     /** The figures of drivers that strip comments ride in headers; where both tell, they must agree. */
     @Test
-    void figuresMayRideInHeaders() throws Exception {
-        try (Rig rig = new Rig(StandIns.PG_KIND)) {
+    void requestAttributesMayComeInHeaders() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.PG_KIND)) {
             FlightCallHeaders headers = new FlightCallHeaders();
             headers.insert("c", "history");
             headers.insert("cluster", "1");
             CallOption option = new HeaderCallOption(headers);
             String sql = "SELECT data FROM facts WHERE code = 'k1'";
-            assertEquals(Rig.SERVED, redeem(rig.client(), ticket(rig.client().execute(sql, option)), new AtomicInteger()));
+            assertEquals(FlightFixture.SERVED, redeem(rig.client(), ticket(rig.client().execute(sql, option)), new AtomicInteger()));
             FlightRuntimeException e = assertThrows(FlightRuntimeException.class,
                     () -> rig.client().execute(sql + " /* id=r1,c=my-quotes,cluster=1 */", option));
             assertEquals(FlightStatusCode.INVALID_ARGUMENT, e.status().code());
@@ -261,11 +261,11 @@
     @ParameterizedTest
     @ValueSource(strings = {StandIns.PG_KIND, StandIns.FLIGHT_KIND})
     void updatesAndPreparedStatementsWithParameters(String kind) throws Exception {
-        try (Rig rig = new Rig(kind)) {
-            assertEquals(1, rig.client().executeUpdate(write("w1", 900)));
-            String figures = " /* c=save-quote,d=900,cluster=1 */";
+        try (FlightFixture rig = new FlightFixture(kind)) {
+            assertEquals(1, rig.client().executeUpdate(writeStatement("w1", 900)));
+            String attributes = " /* c=save-quote,d=900,cluster=1 */";
             try (FlightSqlClient.PreparedStatement insert = rig.client()
-                    .prepare("INSERT INTO facts (code, data) VALUES (?, ?) RETURNING data" + figures);
+                    .prepare("INSERT INTO facts (code, data) VALUES (?, ?) RETURNING data" + attributes);
                     VectorSchemaRoot row = VectorSchemaRoot.create(new Schema(List.of(
                             Field.nullable("a", ArrowType.Utf8.INSTANCE), Field.nullable("b", ArrowType.Utf8.INSTANCE))),
                             rig.allocator)) {
@@ -277,27 +277,27 @@
                 assertEquals(1, insert.executeUpdate());
                 assertEquals(1, insert.executeUpdate(), "run anew it is another request");
             }
-            assertEquals(2, rig.standIns.group().writes("it's"));
+            assertEquals(2, rig.standIns.group().writeCount("it's"));
             try (FlightSqlClient.PreparedStatement read = rig.client()
                     .prepare("SELECT data FROM facts WHERE code = 'it''s' /* c=my-quotes,cluster=1 */")) {
-                assertEquals(Rig.SERVED, redeem(rig.client(), ticket(read.execute()), new AtomicInteger()));
+                assertEquals(FlightFixture.SERVED, redeem(rig.client(), ticket(read.execute()), new AtomicInteger()));
             }
         }
     }
 
     @Test
-    void catalogsSqlInfoAndCountersAreAnsweredHere() throws Exception {
-        try (Rig rig = new Rig(StandIns.PG_KIND)) {
+    void catalogsSqlInfoAndCountersAreAnsweredByThePooler() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.PG_KIND)) {
             FlightSqlClient client = rig.client();
             AtomicInteger batches = new AtomicInteger();
             for (FlightInfo info : List.of(client.getCatalogs(), client.getSchemas(null, null), client.getTableTypes(),
                     client.getTables(null, null, "fact%", null, true), client.getPrimaryKeys(
                             org.apache.arrow.flight.sql.util.TableRef.of(null, null, "facts")),
                     client.getSqlInfo(SqlInfo.FLIGHT_SQL_SERVER_TRANSACTION), client.execute("show stats"))) {
-                assertEquals(Rig.SERVED, redeem(client, ticket(info), batches));
+                assertEquals(FlightFixture.SERVED, redeem(client, ticket(info), batches));
             }
             assertEquals(7, batches.get());
-            assertEquals(0, rig.get(Counter.ATTEMPTS));
+            assertEquals(0, rig.counter(Counter.ATTEMPTS));
             FlightRuntimeException e = assertThrows(FlightRuntimeException.class,
                     () -> client.beginTransaction());
             assertEquals(FlightStatusCode.UNIMPLEMENTED, e.status().code());
@@ -306,39 +306,39 @@
 
     /** A drain answers what was taken, and tells clients to go; sending them away can be taken back. */
     @Test
-    void whatWasTakenIsAnsweredThroughADrain() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
-            Ticket ticket = ticket(rig.client().execute(rates("r1", "50x2000")));
-            rig.pooler.fronts().sendAway(true);
-            Rig.await(() -> rig.flight(rates("r2", "1x1")).contains("UNAVAILABLE")); // GOAWAY is on its way at first
-            rig.pooler.fronts().sendAway(false);
-            Rig.await(() -> rig.flight(rates("r3", "1x1")).equals(Rig.SERVED));
+    void acceptedRequestsAreAnsweredDuringADrain() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
+            Ticket ticket = ticket(rig.client().execute(ratesQuery("r1", "50x2000")));
+            rig.pooler.fronts().setEvacuating(true);
+            FlightFixture.await(() -> rig.queryFlight(ratesQuery("r2", "1x1")).contains("UNAVAILABLE")); // GOAWAY is on its way at first
+            rig.pooler.fronts().setEvacuating(false);
+            FlightFixture.await(() -> rig.queryFlight(ratesQuery("r3", "1x1")).equals(FlightFixture.SERVED));
             AtomicInteger batches = new AtomicInteger();
             try (FlightStream stream = rig.client().getStream(ticket)) {
                 stream.next();
-                rig.pooler.fronts().endAfter(3_000_000_000L);
+                rig.pooler.fronts().announceShutdown(3_000_000_000L);
                 rig.pooler.fronts().stopAccepting();
                 while (stream.next()) {
                     batches.incrementAndGet();
                 }
             }
             assertEquals(49, batches.get());
-            Rig.await(() -> rig.pooler.fronts().openClients() == 0);
+            FlightFixture.await(() -> rig.pooler.fronts().openClients() == 0);
         }
     }
 
     /** A write that could not be told before the end is refused with a status that says so. */
     @Test
-    void aWriteThatNeedsLongerThanTheProcessHasIsRefused() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
-            rig.pooler.fronts().endAfter(1_000_000_000L);
+    void writeThatMayOutliveTheProcessIsRefused() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
+            rig.pooler.fronts().announceShutdown(1_000_000_000L);
             FlightRuntimeException e = assertThrows(FlightRuntimeException.class, () -> {
-                try (FlightStream stream = rig.client().getStream(ticket(rig.client().execute(write("w1", 3_000))))) {
+                try (FlightStream stream = rig.client().getStream(ticket(rig.client().execute(writeStatement("w1", 3_000))))) {
                     stream.next();
                 }
             });
             assertEquals(FlightStatusCode.UNAVAILABLE, e.status().code());
-            assertEquals(Map.of(), rig.standIns.group().runs());
+            assertEquals(Map.of(), rig.standIns.group().runCounts());
         }
     }
 }
--- a/flight/src/test/java/holdmux/flight/HostileInputTest.java
+++ b/flight/src/test/java/holdmux/flight/HostileInputTest.java
@@ -40,22 +40,22 @@
 
 /**
  * Random bytes as tickets, commands, actions, headers and streams: each call ends with a status of its own, no server is
- * reached, and at the end Arrow's memory is all given back ({@link Rig#close} complains otherwise).
+ * reached, and at the end Arrow's memory is all given back ({@link FlightFixture#close} complains otherwise).
  */
 class HostileInputTest {
-    private static Rig rig;
+    private static FlightFixture rig;
     private static ManagedChannel channel;
 
     @BeforeContainer
     static void start() throws Exception {
-        rig = new Rig(StandIns.FLIGHT_KIND);
+        rig = new FlightFixture(StandIns.FLIGHT_KIND);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", rig.location().getUri().getPort()).usePlaintext().build();
     }
 
     @AfterContainer
     static void end() throws Exception {
-        assertEquals(0, rig.get(Counter.ATTEMPTS));
-        assertEquals(0, rig.get(Counter.INTERNAL_ERRORS));
+        assertEquals(0, rig.counter(Counter.ATTEMPTS));
+        assertEquals(0, rig.counter(Counter.INTERNAL_ERRORS));
         channel.shutdownNow();
         rig.close();
     }
@@ -64,7 +64,7 @@
         return FlightServiceGrpc.newBlockingStub(channel).withDeadlineAfter(5, java.util.concurrent.TimeUnit.SECONDS);
     }
 
-    private static void refused(Runnable call) {
+    private static void assertRejected(Runnable call) {
         StatusRuntimeException e = assertThrows(StatusRuntimeException.class, call::run);
         switch (e.getStatus().getCode()) {
             case INVALID_ARGUMENT, NOT_FOUND, UNIMPLEMENTED -> { }
@@ -72,52 +72,52 @@
         }
     }
 
-    private static void drain(Iterator<?> answers) {
+    private static void consume(Iterator<?> answers) {
         while (answers.hasNext()) {
             answers.next();
         }
     }
 
     @Property(tries = 100, seed = "21")
-    void tickets(@ForAll @Size(max = 60) byte[] bytes) {
+    void randomTickets(@ForAll @Size(max = 60) byte[] bytes) {
         ByteString handle = ByteString.copyFrom(bytes);
-        refused(() -> drain(stub().doGet(Ticket.newBuilder().setTicket(handle).build())));
-        refused(() -> drain(stub().doGet(Ticket.newBuilder().setTicket(Any.pack(TicketStatementQuery.newBuilder()
+        assertRejected(() -> consume(stub().doGet(Ticket.newBuilder().setTicket(handle).build())));
+        assertRejected(() -> consume(stub().doGet(Ticket.newBuilder().setTicket(Any.pack(TicketStatementQuery.newBuilder()
                 .setStatementHandle(handle).build()).toByteString()).build())));
     }
 
     @Property(tries = 100, seed = "22")
-    void commandsAndActions(@ForAll @Size(max = 60) byte[] bytes, @ForAll String text) {
+    void randomCommandsAndActions(@ForAll @Size(max = 60) byte[] bytes, @ForAll String text) {
         ByteString body = ByteString.copyFrom(bytes);
-        refused(() -> stub().getFlightInfo(FlightDescriptor.newBuilder().setCmd(body).build()));
-        refused(() -> stub().getSchema(FlightDescriptor.newBuilder().setCmd(body).build()));
-        refused(() -> stub().getFlightInfo(FlightDescriptor.newBuilder().setCmd(Any.pack(
+        assertRejected(() -> stub().getFlightInfo(FlightDescriptor.newBuilder().setCmd(body).build()));
+        assertRejected(() -> stub().getSchema(FlightDescriptor.newBuilder().setCmd(body).build()));
+        assertRejected(() -> stub().getFlightInfo(FlightDescriptor.newBuilder().setCmd(Any.pack(
                 CommandStatementQuery.newBuilder().setQuery(text).build()).toByteString()).build()));
-        refused(() -> drain(stub().doAction(Action.newBuilder().setType(text).setBody(body).build())));
+        assertRejected(() -> consume(stub().doAction(Action.newBuilder().setType(text).setBody(body).build())));
     }
 
     @Property(tries = 100, seed = "23")
-    void headers(@ForAll @Size(max = 20) byte[] bytes) {
+    void randomHeaders(@ForAll @Size(max = 20) byte[] bytes) {
         String value = new String(bytes, StandardCharsets.ISO_8859_1).replaceAll("[^ -~]", "*");
         Metadata headers = new Metadata();
         headers.put(Metadata.Key.of("c", Metadata.ASCII_STRING_MARSHALLER), value);
         headers.put(Metadata.Key.of("cluster", Metadata.ASCII_STRING_MARSHALLER), value);
-        refused(() -> stub().withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
+        assertRejected(() -> stub().withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
                 .getFlightInfo(FlightDescriptor.newBuilder().setCmd(Any.pack(CommandStatementQuery.newBuilder()
                         .setQuery("SELECT data FROM facts WHERE code = 'k'").build()).toByteString()).build()));
     }
 
     @Property(tries = 100, seed = "24")
-    void streams(@ForAll @Size(max = 60) byte[] bytes) {
-        refused(() -> ClientCalls.blockingUnaryCall(channel, Raw.DO_PUT, CallOptions.DEFAULT, bytes));
+    void randomStreams(@ForAll @Size(max = 60) byte[] bytes) {
+        assertRejected(() -> ClientCalls.blockingUnaryCall(channel, RawMethods.DO_PUT, CallOptions.DEFAULT, bytes));
         byte[] command = FlightData.newBuilder().setFlightDescriptor(FlightDescriptor.newBuilder()
                 .setCmd(ByteString.copyFrom(bytes))).build().toByteArray();
-        refused(() -> ClientCalls.blockingUnaryCall(channel, Raw.DO_PUT, CallOptions.DEFAULT, command));
+        assertRejected(() -> ClientCalls.blockingUnaryCall(channel, RawMethods.DO_PUT, CallOptions.DEFAULT, command));
     }
 
     /** A batch cut anywhere, or with one byte changed, is whole for nobody or still a message; it never crashes. */
     @Property(tries = 300, seed = "25")
-    void batches(@ForAll @IntRange(max = 5_000) int place, @ForAll byte other, @ForAll boolean cut) {
+    void corruptedBatches(@ForAll @IntRange(max = 5_000) int position, @ForAll byte replacement, @ForAll boolean truncate) {
         try (RootAllocator allocator = new RootAllocator();
                 VectorSchemaRoot root = VectorSchemaRoot.create(
                         new Schema(java.util.List.of(Field.nullable("n", new ArrowType.Int(32, true)))), allocator)) {
@@ -125,16 +125,16 @@
                 ((IntVector) root.getVector(0)).setSafe(i, i);
             }
             root.setRowCount(50);
-            byte[] frame = Ipc.frame(root);
-            int at = place % frame.length;
-            byte[] spoilt = cut ? Arrays.copyOf(frame, at) : frame.clone();
-            if (!cut) {
-                spoilt[at] = other;
+            byte[] message = ArrowIpc.toMessage(root);
+            int index = position % message.length;
+            byte[] corrupted = truncate ? Arrays.copyOf(message, index) : message.clone();
+            if (!truncate) {
+                corrupted[index] = replacement;
             }
             try {
-                byte kind = Ipc.check(spoilt);
-                assertEquals(true, !cut || at == 0 || kind == 0, "a batch cut off at " + at + " of " + frame.length);
-                new Ipc(allocator).read(java.util.List.of(Ipc.frame(root.getSchema()), spoilt), r -> { });
+                byte kind = ArrowIpc.validate(corrupted);
+                assertEquals(true, !truncate || index == 0 || kind == 0, "a batch cut off at " + index + " of " + message.length);
+                new ArrowIpc(allocator).readBatches(java.util.List.of(ArrowIpc.toMessage(root.getSchema()), corrupted), r -> { });
             } catch (IOException e) {
                 // said
             }
--- a/flight/src/test/java/holdmux/flight/JdbcTest.java
+++ b/flight/src/test/java/holdmux/flight/JdbcTest.java
@@ -19,12 +19,12 @@
 class JdbcTest {
     @Test
     void readsATableUpdatesAndListsTables() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND);
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND);
                 Connection connection = DriverManager.getConnection("jdbc:arrow-flight-sql://127.0.0.1:"
                         + rig.location().getUri().getPort() + "/?useEncryption=false");
                 Statement statement = connection.createStatement()) {
-            String figures = " /* c=save-quote,d=2000,cluster=1 */";
-            assertEquals(1, statement.executeUpdate("INSERT INTO facts (code, data) VALUES ('k', '\\x0102')" + figures));
+            String attributes = " /* c=save-quote,d=2000,cluster=1 */";
+            assertEquals(1, statement.executeUpdate("INSERT INTO facts (code, data) VALUES ('k', '\\x0102')" + attributes));
             try (ResultSet rows = statement
                     .executeQuery("SELECT data FROM facts WHERE code = 'k' /* c=my-quotes,d=900,cluster=1 */")) {
                 assertTrue(rows.next());
@@ -51,9 +51,9 @@
                 assertEquals("facts", tables.getString("TABLE_NAME"));
             }
             // unknown properties ride as headers, so that statements need no comment
-            try (Connection plain = DriverManager.getConnection("jdbc:arrow-flight-sql://127.0.0.1:"
+            try (Connection withHeaders = DriverManager.getConnection("jdbc:arrow-flight-sql://127.0.0.1:"
                     + rig.location().getUri().getPort() + "/?useEncryption=false&c=history&cluster=1");
-                    Statement read = plain.createStatement();
+                    Statement read = withHeaders.createStatement();
                     ResultSet rows = read.executeQuery("SELECT data FROM facts WHERE code = 'k'")) {
                 assertTrue(rows.next());
             }
--- a/flight/src/test/java/holdmux/flight/OutdatedTest.java
+++ b/flight/src/test/java/holdmux/flight/OutdatedReadTest.java
@@ -7,12 +7,12 @@
 import holdmux.core.Clock;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Services;
-import holdmux.core.Upstream.Attempted;
-import holdmux.core.Value;
+import holdmux.core.Upstream.AttemptResult;
+import holdmux.core.QueryResult;
 import holdmux.decision.SplitterApi.Outcome;
 import holdmux.standins.StandIns;
 import holdmux.statement.Statement;
-import holdmux.statement.Text;
+import holdmux.statement.ChunkedText;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.zip.CRC32;
@@ -20,27 +20,27 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(40)
-class OutdatedTest {
+class OutdatedReadTest {
     /** A read whose data has grown too old while its connection came up is planned, but not fetched nor served. */
     @Test
-    void aReadIsNotFetchedThatNoLongerStands() throws Exception {
-        try (Rig rig = new Rig(StandIns.FLIGHT_KIND)) {
+    void outdatedReadIsNotFetched() throws Exception {
+        try (FlightFixture rig = new FlightFixture(StandIns.FLIGHT_KIND)) {
             Services services = rig.pooler.services();
             byte[] sql = "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=history,d=1500,cluster=1 */"
                     .getBytes(StandardCharsets.UTF_8);
-            int[] asked = new int[1];
-            Attempt attempt = new Attempt(store("s-2"), 0, services.clock().now(), 1_500 * Clock.MS, () -> asked[0]++ == 0);
-            Attempted ended = rig.part.upstream(services).attempt(attempt, Statement.parse(Text.of(sql, sql.length)),
-                    Value.Form.TABLE);
-            assertEquals(Outcome.RESET, ended.reply().outcome());
-            assertNull(ended.value());
+            int[] checks = new int[1];
+            Attempt attempt = new Attempt(storeId("s-2"), 0, services.clock().now(), 1_500 * Clock.MS, () -> checks[0]++ == 0);
+            AttemptResult attempted = rig.part.upstream(services).attempt(attempt, Statement.parse(ChunkedText.of(sql, sql.length)),
+                    QueryResult.Shape.TABLE);
+            assertEquals(Outcome.RESET, attempted.reply().outcome());
+            assertNull(attempted.queryResult());
             assertEquals(1, services.counters().get(Counter.SENDS_OUTDATED));
-            assertEquals(Map.of(), rig.standIns.group().runs());
+            assertEquals(Map.of(), rig.standIns.group().runCounts());
         }
     }
 
     /** The number that a server has by its name alone. */
-    private static long store(String name) {
+    private static long storeId(String name) {
         CRC32 crc = new CRC32();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
         return crc.getValue();
--- a/flight/src/test/java/holdmux/flight/ParityTest.java
+++ b/flight/src/test/java/holdmux/flight/ParityTest.java
@@ -25,19 +25,19 @@
  */
 class ParityTest {
     /** One request: its id is its name; the faults its runs meet, and whether its client leaves once it was asked. */
-    private record Step(String id, String sql, boolean leaves, Fault... faults) {}
+    private record Step(String id, String sql, boolean disconnects, Fault... faults) {}
 
     private record Scenario(String name, List<Step> steps) {}
 
     /** What one way of playing a scenario came to. */
-    private record Outcome(List<String> told, Map<String, Long> counted, Map<String, Integer> runs) {}
+    private record Result(List<String> answers, Map<String, Long> counters, Map<String, Integer> runs) {}
 
-    private static final List<String> WAYS = List.of("PostgreSQL to PostgreSQL", "Flight SQL to PostgreSQL",
+    private static final List<String> PROTOCOL_PAIRS = List.of("PostgreSQL to PostgreSQL", "Flight SQL to PostgreSQL",
             "PostgreSQL to Flight SQL", "Flight SQL to Flight SQL");
 
-    private final ExecutorService threads = Executors.newFixedThreadPool(WAYS.size());
+    private final ExecutorService threads = Executors.newFixedThreadPool(PROTOCOL_PAIRS.size());
 
-    private static final List<Counter> COMPARED = List.of(Counter.REQUESTS_TAKEN, Counter.SERVED, Counter.REFUSED,
+    private static final List<Counter> COMPARED_COUNTERS = List.of(Counter.REQUESTS_TAKEN, Counter.SERVED, Counter.REFUSED,
             Counter.FAILED, Counter.CLIENTS_LEFT, Counter.ATTEMPTS, Counter.ATTEMPT_OK, Counter.ATTEMPT_ERROR,
             Counter.ATTEMPT_FULL, Counter.ATTEMPT_TIMEOUT, Counter.ATTEMPT_CONNECT_FAILED, Counter.ATTEMPT_RESET,
             Counter.ATTEMPT_CANCELLED, Counter.ATTEMPT_MOOT, Counter.ATTEMPT_MISS, Counter.BAD_INPUT,
@@ -51,8 +51,8 @@
         return Stream.of(faults).anyMatch(fault -> fault.kind() == Kind.SILENT) ? 2_500 : 20_000;
     }
 
-    private static Step read(String id, String type, Fault... faults) {
-        return new Step(id, "SELECT data FROM facts WHERE code = 'k1' /* id=" + id + ",c=" + type
+    private static Step read(String id, String requestClass, Fault... faults) {
+        return new Step(id, "SELECT data FROM facts WHERE code = 'k1' /* id=" + id + ",c=" + requestClass
                 + ",d=" + waitMs(faults) + ",cluster=1 */", false, faults);
     }
 
@@ -61,7 +61,7 @@
                 + ",c=save-quote,d=" + waitMs(faults) + ",cluster=1 */", false, faults);
     }
 
-    private static Step leaving(Step step) {
+    private static Step disconnecting(Step step) {
         return new Step(step.id(), step.sql(), true, step.faults());
     }
 
@@ -99,9 +99,9 @@
         all.add(new Scenario("a read meets two resets", List.of(read("r1", "history", reset, reset))));
         all.add(new Scenario("a write is too much once", List.of(write("w1", full, reset))));
         all.add(new Scenario("a client leaves its silent read",
-                List.of(leaving(read("r1", "history", Fault.of(Kind.SILENT, Phase.AFTER_RUN))))));
+                List.of(disconnecting(read("r1", "history", Fault.of(Kind.SILENT, Phase.AFTER_RUN))))));
         all.add(new Scenario("a client leaves its silent write",
-                List.of(leaving(write("w1", Fault.of(Kind.SILENT, Phase.AFTER_RUN))))));
+                List.of(disconnecting(write("w1", Fault.of(Kind.SILENT, Phase.AFTER_RUN))))));
         all.add(new Scenario("bad input", List.of(read("r1", "no-such-class"),
                 new Step("r2", "SELECT data FROM facts WHERE code = 'k1' /* id=r2,c=history,d=x,cluster=1 */", false),
                 new Step("r3", "SELECT data FROM facts WHERE code = 'k1' /* id=r3,c=history,d=5,cluster=9 */", false),
@@ -112,39 +112,39 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> allWaysAgree() {
+    Stream<DynamicTest> allProtocolPairsAgree() {
         List<Scenario> scenarios = scenarios();
         assertTrue(scenarios.size() >= 25);
         return scenarios.stream().map(scenario -> DynamicTest.dynamicTest(scenario.name(), () -> {
-            List<CompletableFuture<Outcome>> ways = new ArrayList<>();
+            List<CompletableFuture<Result>> results = new ArrayList<>();
             for (String kind : List.of(StandIns.PG_KIND, StandIns.FLIGHT_KIND)) {
-                ways.add(CompletableFuture.supplyAsync(() -> play(scenario, kind, false), threads));
-                ways.add(CompletableFuture.supplyAsync(() -> play(scenario, kind, true), threads));
+                results.add(CompletableFuture.supplyAsync(() -> play(scenario, kind, false), threads));
+                results.add(CompletableFuture.supplyAsync(() -> play(scenario, kind, true), threads));
             }
-            Outcome first = ways.get(0).get();
-            for (int way = 1; way < WAYS.size(); way++) {
-                assertEquals(first, ways.get(way).get(), WAYS.get(way) + " beside " + WAYS.get(0));
+            Result first = results.get(0).get();
+            for (int pair = 1; pair < PROTOCOL_PAIRS.size(); pair++) {
+                assertEquals(first, results.get(pair).get(), PROTOCOL_PAIRS.get(pair) + " beside " + PROTOCOL_PAIRS.get(0));
             }
             first.runs().forEach((id, runs) -> assertTrue(id.startsWith("r") || runs <= 1, id + " ran twice"));
         }));
     }
 
-    private static Outcome play(Scenario scenario, String kind, boolean overFlight) {
-        try (Rig rig = new Rig(kind)) {
-            List<String> told = new ArrayList<>();
+    private static Result play(Scenario scenario, String kind, boolean overFlight) {
+        try (FlightFixture rig = new FlightFixture(kind)) {
+            List<String> answers = new ArrayList<>();
             for (Step step : scenario.steps()) {
-                rig.standIns.group().plan(step.id(), step.faults());
-                if (step.leaves()) {
-                    Runnable asked = () -> Rig.await(() -> rig.standIns.group().runs().containsKey(step.id()));
-                    told.add(overFlight ? rig.flightLeaving(step.sql(), asked) : rig.pgLeaving(step.sql(), asked));
+                rig.standIns.group().planFaults(step.id(), step.faults());
+                if (step.disconnects()) {
+                    Runnable awaitReceived = () -> FlightFixture.await(() -> rig.standIns.group().runCounts().containsKey(step.id()));
+                    answers.add(overFlight ? rig.queryFlightAndCancel(step.sql(), awaitReceived) : rig.queryPgAndDisconnect(step.sql(), awaitReceived));
                 } else {
-                    told.add(overFlight ? rig.flight(step.sql()) : rig.pg(step.sql()));
+                    answers.add(overFlight ? rig.queryFlight(step.sql()) : rig.queryPg(step.sql()));
                 }
-                rig.awaitQuiet();
+                rig.awaitIdle();
             }
-            Map<String, Long> counted = new TreeMap<>();
-            COMPARED.forEach(counter -> counted.put(counter.toString(), rig.get(counter)));
-            return new Outcome(told, counted, new TreeMap<>(rig.standIns.group().runs()));
+            Map<String, Long> counters = new TreeMap<>();
+            COMPARED_COUNTERS.forEach(counter -> counters.put(counter.toString(), rig.counter(counter)));
+            return new Result(answers, counters, new TreeMap<>(rig.standIns.group().runCounts()));
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/pooler/src/main/java/holdmux/Steered.java
+++ b/pooler/src/main/java/holdmux/ActivePolicy.java
@@ -4,42 +4,42 @@
 import holdmux.config.Deployment;
 import holdmux.core.Log;
 import holdmux.core.Services;
-import holdmux.core.Steering;
+import holdmux.core.PolicyControl;
 import holdmux.discovery.Watch;
-import holdmux.management.OrdersInForce;
+import holdmux.management.EffectiveOrders;
 import java.net.InetSocketAddress;
 import java.util.Set;
 import java.util.function.Supplier;
 
 /** Who tells this pooler its policy: its own file until a part that holds the fleet's does, and from then on that part. */
-final class Steered implements Steering {
+final class ActivePolicy implements PolicyControl {
     private final Services services;
     private final Watch watch;
-    private volatile OrdersInForce orders;
+    private volatile EffectiveOrders orders;
     private InetSocketAddress fileDiscovery;
-    private boolean byFleet, discoveryByFleet;
+    private boolean fleetPolicyInForce, fleetSetsDiscovery;
 
-    Steered(Services services, Watch watch) {
+    ActivePolicy(Services services, Watch watch) {
         this.services = services;
         this.watch = watch;
         fileDiscovery = services.config().discovery();
     }
 
     /** Names who puts orders in force; before any part begins. */
-    void orders(OrdersInForce orders) {
+    void orders(EffectiveOrders orders) {
         this.orders = orders;
     }
 
     /** Takes up a file that was read anew, as far as the fleet's policy leaves it to the file. */
-    synchronized void file(Config next) {
+    synchronized void applyFile(Config next) {
         fileDiscovery = next.discovery();
-        if (byFleet) {
-            Log.warn("the fleet's policy is in force: of the file only " + (discoveryByFleet ? "nothing" : "discovery")
+        if (fleetPolicyInForce) {
+            Log.warn("the fleet's policy is in force: of the file only " + (fleetSetsDiscovery ? "nothing" : "discovery")
                     + " was taken up");
         } else {
-            services.balancer().retune(next.deployment());
+            services.balancer().reconfigure(next.deployment());
         }
-        if (!discoveryByFleet) {
+        if (!fleetSetsDiscovery) {
             watch.moveTo(next.discovery());
         }
     }
@@ -50,30 +50,30 @@
     }
 
     @Override
-    public synchronized void putInForce(Deployment deployment, InetSocketAddress discovery, Set<String> excluded,
+    public synchronized void applyPolicy(Deployment deployment, InetSocketAddress discovery, Set<String> excluded,
             boolean evacuated) {
-        byFleet = true;
-        discoveryByFleet = discovery != null;
-        services.balancer().retune(deployment);
+        fleetPolicyInForce = true;
+        fleetSetsDiscovery = discovery != null;
+        services.balancer().reconfigure(deployment);
         watch.moveTo(discovery == null ? fileDiscovery : discovery);
-        orders.fleet(excluded, evacuated);
+        orders.setFleetOrders(excluded, evacuated);
     }
 
     @Override
-    public void gate(Supplier<String> closed) {
-        services.gate(closed);
+    public void setAdmissionGate(Supplier<String> closed) {
+        services.setAdmissionGate(closed);
     }
 
     @Override
-    public void show(String name, Supplier<String> value) {
-        services.show(name, value);
+    public void addStat(String name, Supplier<String> value) {
+        services.addStat(name, value);
     }
 
     /**
      * Whether new requests are taken, as far as the fleet's policy has a say. Takes no lock: whoever answers for the gate
      * may be putting a policy in force here meanwhile.
      */
-    boolean takes() {
-        return services.admission().closedByPolicy() == null && !orders.fleetEvacuates();
+    boolean acceptsRequests() {
+        return services.admission().policyRefusalReason() == null && !orders.fleetEvacuates();
     }
 }
--- a/pooler/src/main/java/holdmux/Drain.java
+++ b/pooler/src/main/java/holdmux/Drain.java
@@ -11,22 +11,22 @@
  */
 final class Drain {
     /** After SIGTERM new connections keep coming for up to 0.4 s; the rest is margin for a busy core. */
-    private static final long ACCEPT_MS = 600;
+    private static final long KEEP_ACCEPTING_MS = 600;
     /** SIGKILL may come this long after SIGTERM and the longest deadline, of which no more than 3 s count. */
-    private static final long KILL_MS = 700, LONGEST_MS = 3_000;
+    private static final long KILL_AFTER_DEADLINE_MS = 700, MAX_DEADLINE_MS = 3_000;
     /** Final answers are given this long before SIGKILL: they still pass through threads of a small share of a core. */
-    private static final long ANSWER_MS = 300;
+    private static final long ANSWER_MARGIN_MS = 300;
     /** Before that connections at rest are closed: time enough for an answer of the usual kind. */
-    private static final long CLOSE_MS = 200;
+    private static final long IDLE_CLOSE_LEAD_MS = 200;
     /** A client that does not take its answer is cut off 5 s after it began; where no SIGKILL comes, that is waited for. */
-    private static final long STUCK_MS = 6_000;
-    private static final long LOOK_MS = 20;
+    private static final long STUCK_CLIENT_MS = 6_000;
+    private static final long POLL_INTERVAL_MS = 20;
 
     /** The time that has passed since SIGTERM. */
-    interface Time {
-        long passedMs();
+    interface Timer {
+        long elapsedMs();
 
-        void pause(long ms) throws InterruptedException;
+        void sleep(long ms) throws InterruptedException;
     }
 
     private Drain() {}
@@ -38,25 +38,25 @@
      * @param handsOver whether another process of this pooler takes the clients
      * @param longestMs the longest deadline of a class
      */
-    static void run(Front fronts, Runnable giveUpAll, boolean handsOver, long longestMs, Time time)
+    static void run(Front front, Runnable answerOpenRequests, boolean handover, long maxDeadlineMs, Timer timer)
             throws InterruptedException {
-        long kill = KILL_MS + Math.min(LONGEST_MS, longestMs);
-        long answered = kill - ANSWER_MS;
-        fronts.endAfter(answered * Clock.MS);
-        if (handsOver) {
-            fronts.handOver();
+        long killMs = KILL_AFTER_DEADLINE_MS + Math.min(MAX_DEADLINE_MS, maxDeadlineMs);
+        long finalAnswerMs = killMs - ANSWER_MARGIN_MS;
+        front.announceShutdown(finalAnswerMs * Clock.MS);
+        if (handover) {
+            front.handOver();
         } else {
-            time.pause(ACCEPT_MS);
+            timer.sleep(KEEP_ACCEPTING_MS);
         }
-        fronts.stopAccepting();
-        for (long past = time.passedMs(); fronts.openClients() > 0 && past < kill + STUCK_MS; past = time.passedMs()) {
-            if (past >= answered - CLOSE_MS) {
-                fronts.closeWhenIdle();
+        front.stopAccepting();
+        for (long elapsedMs = timer.elapsedMs(); front.openClients() > 0 && elapsedMs < killMs + STUCK_CLIENT_MS; elapsedMs = timer.elapsedMs()) {
+            if (elapsedMs >= finalAnswerMs - IDLE_CLOSE_LEAD_MS) {
+                front.closeWhenIdle();
             }
-            if (past >= answered) {
-                giveUpAll.run(); // time and again: one may have been read just before its connection was to end
+            if (elapsedMs >= finalAnswerMs) {
+                answerOpenRequests.run(); // time and again: one may have been read just before its connection was to end
             }
-            time.pause(LOOK_MS);
+            timer.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/pooler/src/main/java/holdmux/Pooler.java
+++ b/pooler/src/main/java/holdmux/Pooler.java
@@ -6,15 +6,15 @@
 import holdmux.core.Clock;
 import holdmux.core.Counters;
 import holdmux.core.Deadlines;
-import holdmux.core.Fleet;
+import holdmux.core.ServerRegistry;
 import holdmux.core.Fronts;
-import holdmux.core.Part;
+import holdmux.core.Extension;
 import holdmux.core.ServerSlots;
 import holdmux.core.Services;
-import holdmux.core.Shared;
+import holdmux.core.OtherProcess;
 import holdmux.core.Upstreams;
 import holdmux.core.Workers;
-import holdmux.discovery.Agents;
+import holdmux.discovery.AgentAddresses;
 import holdmux.discovery.Watch;
 import holdmux.pg.PgFront;
 import holdmux.pg.PgUpstream;
@@ -29,24 +29,24 @@
     private final PgFront front;
     private final Fronts fronts;
 
-    public Pooler(Config config, List<Part> parts, Clock clock) throws IOException {
+    public Pooler(Config config, List<Extension> parts, Clock clock) throws IOException {
         Deadlines deadlines = new Deadlines(clock);
         Counters counters = new Counters();
         Workers workers = new Workers(config.caps().workers());
-        Fleet fleet = new Fleet(config.deployment().zones(), config.deployment().kinds());
+        ServerRegistry fleet = new ServerRegistry(config.deployment().zones(), config.deployment().kinds());
         Balancer balancer = new Balancer(config.deployment(), config.seed(), clock, deadlines, counters, fleet, workers);
-        Shared shared = new Shared();
+        OtherProcess shared = new OtherProcess();
         ServerSlots slots = new ServerSlots(config.caps().servers(), shared);
         services = new Services(config, balancer, new Admission(balancer::deployment, fleet), fleet, clock, deadlines,
                 counters, workers, shared, slots);
         Upstreams upstreams = new Upstreams(fleet, new PgUpstream(config.caps(), fleet, clock, deadlines, counters,
                 balancer::deployment, shared, slots));
-        for (Part part : parts) {
+        for (Extension part : parts) {
             if (!part.kinds().isEmpty()) {
                 upstreams.add(part.kinds(), part.upstream(services));
             }
         }
-        balancer.connect(upstreams::of);
+        balancer.setUpstreams(upstreams::forServer);
         front = new PgFront(services, ready);
         fronts = Fronts.of(front, parts, services);
     }
@@ -60,14 +60,14 @@
     }
 
     /** Begins to keep time and to follow discovery. */
-    public Watch begin() {
+    public Watch start() {
         Config config = services.config();
-        ListIntake lists = new ListIntake(services, ready);
-        lists.begin();
-        Workers.lasting("deadlines", services.counters(), services.deadlines()::run).start();
-        Watch watch = new Watch(new Agents(config.discovery(), config.otherDiscovery()), config.known(),
+        ServerListApplier lists = new ServerListApplier(services, ready);
+        lists.start();
+        Workers.restartingThread("deadlines", services.counters(), services.deadlines()::run).start();
+        Watch watch = new Watch(new AgentAddresses(config.discovery(), config.alternativeDiscovery()), config.cachedList(),
                 () -> services.balancer().deployment().settings().mustSubscribe(), config.seed(), services.counters(), lists);
-        Workers.lasting("discovery", services.counters(), watch).start();
+        Workers.restartingThread("discovery", services.counters(), watch).start();
         return watch;
     }
 
--- a/pooler/src/main/java/holdmux/Reloader.java
+++ b/pooler/src/main/java/holdmux/Reloader.java
@@ -17,79 +17,79 @@
      * How long a file that cannot be taken up is read again: nobody sends the signal twice, and the old address of discovery
      * may never tell anything again. What the new one has counts 4 s after the signal and binds 2 s later.
      */
-    private static final long AGAIN_FOR_NS = 6_000 * Clock.MS;
+    private static final long RETRY_PERIOD_NS = 6_000 * Clock.MS;
     /** The pauses before a file is read again that the system failed to read, for want of a descriptor or by a disk's fault. */
-    private static final long[] UNREADABLE_AGAIN_MS = {20, 50, 100, 200, 400, 800, 1_600, 3_000};
+    private static final long[] READ_RETRY_DELAYS_MS = {20, 50, 100, 200, 400, 800, 1_600, 3_000};
     /** The pause before a file is read again that is no configuration: it may have been half written. */
-    private static final long REFUSED_AGAIN_MS = 500;
+    private static final long INVALID_RETRY_DELAY_MS = 500;
 
     /** Reads the file as it is now. */
-    interface Source {
-        Config read(Config inForce) throws IOException;
+    interface ConfigSource {
+        Config read(Config current) throws IOException;
     }
 
-    private final Semaphore hangUps;
-    private final Config first;
-    private final Steered steered;
+    private final Semaphore sighups;
+    private final Config startupConfig;
+    private final ActivePolicy activePolicy;
     private final Watch watch;
     private final Counters counters;
-    private final Source source;
-    private Config inForce;
+    private final ConfigSource source;
+    private Config current;
 
-    Reloader(Semaphore hangUps, Config first, Steered steered, Watch watch, Counters counters) {
-        this(hangUps, first, steered, watch, counters, now -> now.reload(System.getenv()));
+    Reloader(Semaphore sighups, Config startupConfig, ActivePolicy activePolicy, Watch watch, Counters counters) {
+        this(sighups, startupConfig, activePolicy, watch, counters, config -> config.reload(System.getenv()));
     }
 
-    Reloader(Semaphore hangUps, Config first, Steered steered, Watch watch, Counters counters, Source source) {
-        this.hangUps = hangUps;
-        this.first = first;
-        this.steered = steered;
+    Reloader(Semaphore sighups, Config startupConfig, ActivePolicy activePolicy, Watch watch, Counters counters, ConfigSource source) {
+        this.sighups = sighups;
+        this.startupConfig = startupConfig;
+        this.activePolicy = activePolicy;
         this.watch = watch;
         this.counters = counters;
         this.source = source;
-        inForce = first;
+        current = startupConfig;
     }
 
     @Override
     public void run() {
         while (true) {
-            hangUps.acquireUninterruptibly();
-            while (!takeUp()) {
+            sighups.acquireUninterruptibly();
+            while (!reload()) {
                 // another signal came while the file could not be taken up
             }
         }
     }
 
     /** Takes the file up, or gives it up after a while; false where a further signal came meanwhile. */
-    private boolean takeUp() {
-        long by = System.nanoTime() + AGAIN_FOR_NS;
+    private boolean reload() {
+        long deadlineNs = System.nanoTime() + RETRY_PERIOD_NS;
         boolean refused = false;
-        for (int unreadable = 0;;) {
-            hangUps.drainPermits();
-            long againMs = REFUSED_AGAIN_MS;
-            Exception fault;
+        for (int readFailures = 0;;) {
+            sighups.drainPermits();
+            long retryDelayMs = INVALID_RETRY_DELAY_MS;
+            Exception failure;
             try {
-                take(source.read(inForce));
+                apply(source.read(current));
                 return true;
             } catch (IOException e) {
-                fault = e;
-                againMs = UNREADABLE_AGAIN_MS[Math.min(unreadable++, UNREADABLE_AGAIN_MS.length - 1)];
+                failure = e;
+                retryDelayMs = READ_RETRY_DELAYS_MS[Math.min(readFailures++, READ_RETRY_DELAYS_MS.length - 1)];
             } catch (RuntimeException e) {
-                fault = e;
+                failure = e;
             }
-            boolean last = System.nanoTime() - by >= 0;
-            if (!refused && (last || !(fault instanceof IOException))) {
+            boolean timedOut = System.nanoTime() - deadlineNs >= 0;
+            if (!refused && (timedOut || !(failure instanceof IOException))) {
                 refused = true;
                 counters.count(Counter.RELOADS_REFUSED);
-                Log.warn("the new configuration cannot be used, the old one stays: " + fault.getMessage());
+                Log.warn("the new configuration cannot be used, the old one stays: " + failure.getMessage());
             }
-            if (last) {
+            if (timedOut) {
                 return true;
             }
-            if (fault instanceof IOException) {
-                Log.warn("the new configuration cannot be read, it is tried again: " + fault);
+            if (failure instanceof IOException) {
+                Log.warn("the new configuration cannot be read, it is tried again: " + failure);
             }
-            if (hangUpWithin(againMs)) {
+            if (sighupWithin(retryDelayMs)) {
                 return false;
             }
             counters.count(Counter.RELOAD_RETRIES);
@@ -97,22 +97,22 @@
     }
 
     /** Waits for so long, or for the next signal; whether that came. */
-    private boolean hangUpWithin(long ms) {
+    private boolean sighupWithin(long ms) {
         try {
-            return hangUps.tryAcquire(ms, TimeUnit.MILLISECONDS);
+            return sighups.tryAcquire(ms, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             return false; // nothing interrupts this thread on purpose; it reads again at once
         }
     }
 
-    private void take(Config next) {
-        steered.file(next);
+    private void apply(Config next) {
+        activePolicy.applyFile(next);
         counters.count(Counter.RELOADS);
         Log.info("configuration taken up anew; discovery is at " + watch.agent() + ", classes "
-                + steered.services().balancer().deployment().classes());
-        if (first.needsRestartFor(next)) {
+                + activePolicy.services().balancer().deployment().classes());
+        if (startupConfig.needsRestartFor(next)) {
             Log.warn("the new configuration has other addresses or limits; those need a restart");
         }
-        inForce = next;
+        current = next;
     }
 }
--- a/pooler/src/main/java/holdmux/Serve.java
+++ b/pooler/src/main/java/holdmux/Serve.java
@@ -9,15 +9,15 @@
 import holdmux.core.Front;
 import holdmux.core.Fronts;
 import holdmux.core.Log;
-import holdmux.core.Part;
+import holdmux.core.Extension;
 import holdmux.core.Services;
-import holdmux.core.SystemFaults;
+import holdmux.core.StartupRetry;
 import holdmux.core.Workers;
 import holdmux.decision.SplitterApi.RequestClass;
 import holdmux.discovery.Watch;
 import holdmux.management.ManagementServer;
 import holdmux.management.Operations;
-import holdmux.management.OrdersInForce;
+import holdmux.management.EffectiveOrders;
 import holdmux.management.StateFile;
 import holdmux.upgrade.Upgrade;
 import java.io.IOException;
@@ -33,12 +33,12 @@
 /** One pooler as a process: wiring, signals and the drain. */
 public final class Serve {
     /** The counters go to the log once a minute, as is usual for poolers. */
-    private static final long REPORT_MS = 60_000;
+    private static final long REPORT_INTERVAL_MS = 60_000;
 
     private Serve() {}
 
     /** Serves until the process is told to end; the exit code where it could not begin. */
-    public static int run(List<Part> parts) throws IOException {
+    public static int run(List<Extension> parts) throws IOException {
         try {
             serve(parts);
             return 0;
@@ -53,11 +53,11 @@
         System.exit(run(List.of()));
     }
 
-    private static void serve(List<Part> parts) throws IOException {
-        Semaphore hangUps = new Semaphore(0);
+    private static void serve(List<Extension> parts) throws IOException {
+        Semaphore sighups = new Semaphore(0);
         // before anything else: unhandled, this signal ends a virtual machine
-        boolean deaf = Signal.handle(new Signal("HUP"), signal -> hangUps.release()) == SignalHandler.SIG_IGN;
-        if (deaf) {
+        boolean sighupIgnored = Signal.handle(new Signal("HUP"), signal -> sighups.release()) == SignalHandler.SIG_IGN;
+        if (sighupIgnored) {
             Log.warn("started with SIGHUP ignored, as nohup does: the configuration cannot be taken up anew");
         }
         Thread.setDefaultUncaughtExceptionHandler((thread, e) -> {
@@ -72,56 +72,56 @@
         Balancer balancer = services.balancer();
         Deadlines deadlines = services.deadlines();
         Fronts fronts = pooler.fronts();
-        Watch watch = pooler.begin();
-        Steered steered = new Steered(services, watch);
-        Workers.lasting("reload", counters, new Reloader(hangUps, config, steered, watch, counters)).start();
-        reportLater(deadlines, counters);
-        Path folder = System.getenv("TMPDIR") == null ? null : Path.of(System.getenv("TMPDIR"));
+        Watch watch = pooler.start();
+        ActivePolicy activePolicy = new ActivePolicy(services, watch);
+        Workers.restartingThread("reload", counters, new Reloader(sighups, config, activePolicy, watch, counters)).start();
+        scheduleReport(deadlines, counters);
+        Path directory = System.getenv("TMPDIR") == null ? null : Path.of(System.getenv("TMPDIR"));
         AtomicReference<Upgrade> upgrade = new AtomicReference<>();
-        OrdersInForce orders = new OrdersInForce(all -> {
-            balancer.leaveOut(all.excluded());
-            fronts.sendAway(all.evacuated());
+        EffectiveOrders orders = new EffectiveOrders(effective -> {
+            balancer.setExcluded(effective.excluded());
+            fronts.setEvacuating(effective.evacuated());
         }, () -> clock.now() / Clock.MS);
-        steered.orders(orders);
-        Operations operations = new Operations(new StateFile(folder), services.fleet()::lists,
-                () -> pooler.isReady() && fronts.isServing() && steered.takes(), orders::own,
-                () -> upgrade.get().ordersChanged(), () -> clock.now() / Clock.MS);
-        upgrade.set(new Upgrade(folder, new Upgrade.Local(balancer::writes, balancer::written, operations::refresh,
-                fronts::openClients, services.slots()::held), services.shared(), deadlines, counters));
-        balancer.tellWritesTo(upgrade.get());
-        AtomicBoolean ending = new AtomicBoolean();
+        activePolicy.orders(orders);
+        Operations operations = new Operations(new StateFile(directory), services.registry()::contains,
+                () -> pooler.isReady() && fronts.isServing() && activePolicy.acceptsRequests(), orders::setPoolerOrders,
+                () -> upgrade.get().publishOrdersChange(), () -> clock.now() / Clock.MS);
+        upgrade.set(new Upgrade(directory, new Upgrade.LocalState(balancer::writes, balancer::applyWrite, operations::refresh,
+                fronts::openClients, services.slots()::held), services.otherProcess(), deadlines, counters));
+        balancer.setWriteListener(upgrade.get());
+        AtomicBoolean terminating = new AtomicBoolean();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            ending.set(true);
+            terminating.set(true);
             drain(fronts, balancer, upgrade.get(), counters);
         }, "drain"));
         boolean takesOver = upgrade.get().join();
         if (config.management() != null) {
-            Workers.lasting("management", counters, new ManagementServer(config.management(), operations, counters)).start();
+            Workers.restartingThread("management", counters, new ManagementServer(config.management(), operations, counters)).start();
         }
         start(pooler::warmUp, () -> {
-            for (Part part : parts) {
-                part.begin(steered);
+            for (Extension part : parts) {
+                part.start(activePolicy);
             }
             if (takesOver) {
                 pooler.awaitReady();
-                upgrade.get().awaitTold();
+                upgrade.get().awaitSynced();
             }
-        }, () -> listen(fronts, ending));
+        }, () -> listen(fronts, terminating));
         Log.info("holdmux " + config.name() + " serves at " + config.listen());
-        upgrade.get().serves();
+        upgrade.get().announceServing();
         pooler.run();
     }
 
     /** The configuration; a file that the system cannot read for a moment is read again. */
     private static Config load(long now) throws IOException {
         AtomicReference<Config> config = new AtomicReference<>();
-        SystemFaults.retried("the configuration cannot be read", () -> config.set(Config.load(System.getenv(), now)));
+        StartupRetry.run("the configuration cannot be read", () -> config.set(Config.load(System.getenv(), now)));
         return config.get();
     }
 
     /** A process that was told to end during its start takes nobody in: whoever came would be cut off by its exit. */
-    static void listen(Front front, AtomicBoolean ending) throws IOException, InterruptedException {
-        if (ending.get()) {
+    static void listen(Front front, AtomicBoolean terminating) throws IOException, InterruptedException {
+        if (terminating.get()) {
             Log.info("told to end before it listened");
             Thread.currentThread().join(); // for ever: the drain ends the process
         }
@@ -137,20 +137,20 @@
      * Listens last: what came in while the code is cold would wait beyond its time and then keep others waiting, where a
      * refused connection sends its client elsewhere at once. An older process that serves meanwhile is heard out before.
      */
-    static void start(Runnable warmUp, Step hearOlder, Step listen) throws IOException {
+    static void start(Runnable warmUp, Step syncWithOlder, Step listen) throws IOException {
         warmUp.run();
         try {
-            hearOlder.run();
+            syncWithOlder.run();
             listen.run();
         } catch (InterruptedException e) {
             throw new InterruptedIOException("interrupted before it listened");
         }
     }
 
-    private static void reportLater(Deadlines deadlines, Counters counters) {
-        deadlines.after(REPORT_MS * Clock.MS, () -> {
+    private static void scheduleReport(Deadlines deadlines, Counters counters) {
+        deadlines.after(REPORT_INTERVAL_MS * Clock.MS, () -> {
             Log.info("counters; " + counters);
-            reportLater(deadlines, counters);
+            scheduleReport(deadlines, counters);
         });
     }
 
@@ -158,17 +158,17 @@
     private static void drain(Fronts fronts, Balancer balancer, Upgrade upgrade, Counters counters) {
         try {
             Log.info("draining");
-            long start = System.nanoTime();
-            long longest = balancer.deployment().settings().classes().stream()
+            long startNs = System.nanoTime();
+            long maxDeadlineMs = balancer.deployment().settings().classes().stream()
                     .mapToLong(RequestClass::deadlineNs).max().orElse(0) / Clock.MS;
-            Drain.run(fronts, balancer::giveUpAll, upgrade.otherServes(), longest, new Drain.Time() {
+            Drain.run(fronts, balancer::giveUpAll, upgrade.peerServes(), maxDeadlineMs, new Drain.Timer() {
                 @Override
-                public long passedMs() {
-                    return (System.nanoTime() - start) / Clock.MS;
+                public long elapsedMs() {
+                    return (System.nanoTime() - startNs) / Clock.MS;
                 }
 
                 @Override
-                public void pause(long ms) throws InterruptedException {
+                public void sleep(long ms) throws InterruptedException {
                     Thread.sleep(ms);
                 }
             });
--- a/pooler/src/main/java/holdmux/ListIntake.java
+++ b/pooler/src/main/java/holdmux/ServerListApplier.java
@@ -12,31 +12,31 @@
  * moment, so nothing is sent by the list of the configuration before discovery has confirmed it: until then requests are
  * refused. Where discovery tells only when asked, that list serves until an answer comes.
  */
-final class ListIntake implements ListListener {
+final class ServerListApplier implements ListListener {
     /**
      * How long readiness waits for discovery. Where lists are pushed it is as long as the start leaves: a restarted process
      * has to be ready within 6 s, of which the virtual machine takes one or two on a busy core.
      */
-    private static final long PUSHED_WAIT_MS = 4_000, ASKED_WAIT_MS = 1_000;
+    private static final long PUSH_READY_WAIT_MS = 4_000, SUBSCRIBE_READY_WAIT_MS = 1_000;
 
     private final Services services;
     private final CountDownLatch ready;
-    private final boolean mustAsk;
+    private final boolean mustSubscribe;
     /** {@code ready} is opened once discovery has confirmed the list or was waited for long enough. */
-    ListIntake(Services services, CountDownLatch ready) {
+    ServerListApplier(Services services, CountDownLatch ready) {
         this.services = services;
         this.ready = ready;
-        mustAsk = services.config().deployment().settings().mustSubscribe();
+        mustSubscribe = services.config().deployment().settings().mustSubscribe();
     }
 
     /** Before any request: what is served by until discovery has answered. */
-    void begin() {
-        if (!mustAsk) {
+    void start() {
+        if (!mustSubscribe) {
             distrusted();
         }
-        services.balancer().listChanged(services.config().known(), true);
-        long waitMs = mustAsk ? ASKED_WAIT_MS : PUSHED_WAIT_MS;
-        services.deadlines().after(waitMs * Clock.MS, () -> waited(waitMs));
+        services.balancer().listChanged(services.config().cachedList(), true);
+        long waitMs = mustSubscribe ? SUBSCRIBE_READY_WAIT_MS : PUSH_READY_WAIT_MS;
+        services.deadlines().after(waitMs * Clock.MS, () -> onReadyWaitElapsed(waitMs));
     }
 
     @Override
@@ -53,14 +53,14 @@
 
     @Override
     public void distrusted() {
-        services.admission().awaitList();
-        services.balancer().awaitList();
+        services.admission().requireListConfirmation();
+        services.balancer().requireListConfirmation();
     }
 
-    private void waited(long waitMs) {
+    private void onReadyWaitElapsed(long waitMs) {
         if (ready.getCount() > 0) {
             Log.warn("discovery has not confirmed its list within " + waitMs + " ms: "
-                    + (mustAsk ? "the list of the configuration is served from" : "requests are refused until it has"));
+                    + (mustSubscribe ? "the list of the configuration is served from" : "requests are refused until it has"));
         }
         ready.countDown();
     }
--- a/pooler/src/main/java/holdmux/config/Config.java
+++ b/pooler/src/main/java/holdmux/config/Config.java
@@ -16,15 +16,15 @@
  * has the last word and names another agent, else null, {@code keys} are all that the file told and {@code ownSettings}
  * its settings as they stand there.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress otherDiscovery,
-        InetSocketAddress management, long seed, int memoryMb, int sockets, HostList known, Deployment deployment, Set<String> keys,
+public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress alternativeDiscovery,
+        InetSocketAddress management, long seed, int memoryMb, int sockets, HostList cachedList, Deployment deployment, Set<String> keys,
         JSONObject ownSettings) {
     /** 1,024 servers with indentation and the longest names take 1.1 MiB, and a policy's settings some KiB. */
-    private static final long MOST_BYTES = 4 << 20;
+    private static final long MAX_BYTES = 4 << 20;
 
     /** Reads the file that BALANCER_CONFIG names; the other variables, where set, have the last word. */
     public static Config load(Map<String, String> env, long zeroNs) throws IOException {
-        return decode(text(env), env, zeroNs, false);
+        return decode(readFile(env), env, zeroNs, false);
     }
 
     /**
@@ -32,7 +32,7 @@
      * things were at the start; positions go on counting from where they did.
      */
     public Config reload(Map<String, String> env) throws IOException {
-        Config next = decode(text(env), env, deployment.settings().zeroNs(), true);
+        Config next = decode(readFile(env), env, deployment.settings().zeroNs(), true);
         for (String key : keys) {
             if (!next.keys.contains(key)) {
                 throw new ConfigException("configuration: " + key + " is missing");
@@ -45,7 +45,7 @@
     }
 
     /** What a fleet's policy, the {@code settings} of one, means for this pooler. */
-    public Deployment under(JSONObject policySettings) {
+    public Deployment deploymentUnder(JSONObject policySettings) {
         return SettingsReader.overlay(ownSettings, policySettings, deployment.settings().zeroNs());
     }
 
@@ -59,34 +59,34 @@
                 && Objects.equals(next.management, management));
     }
 
-    private static String text(Map<String, String> env) throws IOException {
+    private static String readFile(Map<String, String> env) throws IOException {
         String file = env.get("BALANCER_CONFIG");
         if (file == null) {
             throw new ConfigException("BALANCER_CONFIG is not set");
         }
-        if (Files.size(Path.of(file)) > MOST_BYTES) {
-            throw new ConfigException("configuration: over " + MOST_BYTES + " bytes");
+        if (Files.size(Path.of(file)) > MAX_BYTES) {
+            throw new ConfigException("configuration: over " + MAX_BYTES + " bytes");
         }
         return Files.readString(Path.of(file));
     }
 
     /** {@code zeroNs}: where positions count from on this program's clock; the simulator's own means nothing here. */
-    static Config decode(String json, Map<String, String> env, long zeroNs, boolean fileFirst) {
+    static Config decode(String json, Map<String, String> env, long zeroNs, boolean fileOverridesEnv) {
         try {
-            JSONObject all = new JSONObject(json);
-            JSONObject ownSettings = all.getJSONObject("settings");
+            JSONObject root = new JSONObject(json);
+            JSONObject ownSettings = root.getJSONObject("settings");
             Map<String, String> settings = Flattener.flatten(ownSettings);
             settings.put("family-info.zero-ns", String.valueOf(zeroNs));
-            String management = named(all, "management", env, "BALANCER_MANAGEMENT", fileFirst);
-            JSONObject limits = all.getJSONObject("limits");
-            Set<String> keys = Flattener.keys(all);
+            String management = stringValue(root, "management", env, "BALANCER_MANAGEMENT", fileOverridesEnv);
+            JSONObject limits = root.getJSONObject("limits");
+            Set<String> keys = Flattener.keys(root);
             keys.removeIf(key -> key.startsWith("known.")); // hosts come and go
-            return new Config(named(all, "name", env, "BALANCER_NAME", fileFirst),
-                    address(named(all, "listen", env, "BALANCER_LISTEN", fileFirst)),
-                    address(named(all, "discovery", env, "BALANCER_DISCOVERY", fileFirst)), otherDiscovery(all, env, fileFirst),
+            return new Config(stringValue(root, "name", env, "BALANCER_NAME", fileOverridesEnv),
+                    address(stringValue(root, "listen", env, "BALANCER_LISTEN", fileOverridesEnv)),
+                    address(stringValue(root, "discovery", env, "BALANCER_DISCOVERY", fileOverridesEnv)), alternativeDiscovery(root, env, fileOverridesEnv),
                     management.isEmpty() ? null : address(management),
-                    Long.parseUnsignedLong(all.getString("seed"), 16), limits.getInt("memory_mb"),
-                    limits.getInt("sockets"), HostList.decode(all.getJSONObject("known"), fileFirst),
+                    Long.parseUnsignedLong(root.getString("seed"), 16), limits.getInt("memory_mb"),
+                    limits.getInt("sockets"), HostList.decode(root.getJSONObject("known"), fileOverridesEnv),
                     new SettingsReader(settings).deployment(), Set.copyOf(keys), ownSettings);
         } catch (JSONException | NumberFormatException e) {
             throw new ConfigException("configuration: " + e.getMessage());
@@ -97,16 +97,16 @@
      * The agent that the file names beside the environment's: a process that is started again after its configuration has
      * moved discovery may still be given the address of before.
      */
-    private static InetSocketAddress otherDiscovery(JSONObject all, Map<String, String> env, boolean fileFirst) {
-        String own = env.get("BALANCER_DISCOVERY");
-        boolean differs = own != null && !fileFirst && !own.equals(all.optString("discovery", own));
-        return differs ? address(all.getString("discovery")) : null;
+    private static InetSocketAddress alternativeDiscovery(JSONObject root, Map<String, String> env, boolean fileOverridesEnv) {
+        String fromEnv = env.get("BALANCER_DISCOVERY");
+        boolean differs = fromEnv != null && !fileOverridesEnv && !fromEnv.equals(root.optString("discovery", fromEnv));
+        return differs ? address(root.getString("discovery")) : null;
     }
 
-    private static String named(JSONObject all, String key, Map<String, String> env, String variable,
-            boolean fileFirst) {
-        boolean file = all.has(key) && (fileFirst || !env.containsKey(variable));
-        return file ? all.getString(key) : env.getOrDefault(variable, "");
+    private static String stringValue(JSONObject root, String key, Map<String, String> env, String variable,
+            boolean fileOverridesEnv) {
+        boolean fromFile = root.has(key) && (fileOverridesEnv || !env.containsKey(variable));
+        return fromFile ? root.getString(key) : env.getOrDefault(variable, "");
     }
 
     /** A numeric address and a port; there is no name service to ask. */
--- a/pooler/src/main/java/holdmux/config/Flattener.java
+++ b/pooler/src/main/java/holdmux/config/Flattener.java
@@ -21,7 +21,7 @@
 
     public static Map<String, String> flatten(JSONObject settings) {
         Flattener flattener = new Flattener();
-        flattener.object("", settings);
+        flattener.addObject("", settings);
         return flattener.values;
     }
 
@@ -42,39 +42,39 @@
         return keys;
     }
 
-    private void object(String prefix, JSONObject object) {
+    private void addObject(String prefix, JSONObject object) {
         for (String key : object.keySet()) {
-            value(prefix + key, object.get(key));
+            addValue(prefix + key, object.get(key));
         }
     }
 
-    private void value(String path, Object value) {
+    private void addValue(String path, Object value) {
         if (value instanceof JSONObject nested) {
-            object(path + ".", nested);
+            addObject(path + ".", nested);
         } else if (value instanceof JSONArray list) {
-            list(path, list);
+            addList(path, list);
         } else if (value != JSONObject.NULL) {
-            values.put(path, plain(value));
+            values.put(path, scalar(value));
         }
     }
 
-    private void list(String path, JSONArray list) {
-        List<String> plain = new ArrayList<>();
+    private void addList(String path, JSONArray list) {
+        List<String> scalars = new ArrayList<>();
         for (int i = 0; i < list.length(); i++) {
             if (list.get(i) instanceof JSONObject item) {
-                object(path + "." + i + ".", item);
+                addObject(path + "." + i + ".", item);
             } else {
-                plain.add(plain(list.get(i)));
+                scalars.add(scalar(list.get(i)));
             }
         }
-        if (plain.size() < list.length()) {
+        if (scalars.size() < list.length()) {
             values.put(path + ".count", String.valueOf(list.length()));
         } else {
-            values.put(path, String.join(",", plain));
+            values.put(path, String.join(",", scalars));
         }
     }
 
-    private static String plain(Object value) {
+    private static String scalar(Object value) {
         return value.toString().replace(' ', '_').replace(',', '_');
     }
 }
--- a/pooler/src/main/java/holdmux/config/HostList.java
+++ b/pooler/src/main/java/holdmux/config/HostList.java
@@ -16,17 +16,17 @@
     /** An entry that cannot be used: the server it names, its health as it stands there, and what is wrong with it. */
     public record Unfit(String name, String health, String problem) {
         /** Whether it says in so many words that the server takes new work. */
-        public boolean saysUp() {
+        public boolean reportsUp() {
             return health.equals(UP);
         }
 
         /** Whether it says that the server takes nothing new. */
-        public boolean saysStopped() {
+        public boolean reportsUnavailable() {
             return health.equals(DRAINING) || health.equals(REMOVED);
         }
 
         /** Whether it says that the server is gone. */
-        public boolean saysRemoved() {
+        public boolean reportsRemoved() {
             return health.equals(REMOVED);
         }
     }
@@ -42,28 +42,28 @@
     public record Host(String name, InetSocketAddress dial, String site, String kind, int group, Availability availability,
             double share, long bornMs, boolean primary) {
         /** The same server in another state. */
-        public Host with(Availability other) {
-            return other == availability ? this
-                    : new Host(name, other == Availability.GONE ? null : dial, site, kind, group, other, share, bornMs, primary);
+        public Host withAvailability(Availability newAvailability) {
+            return newAvailability == availability ? this
+                    : new Host(name, newAvailability == Availability.GONE ? null : dial, site, kind, group, newAvailability, share, bornMs, primary);
         }
 
         /** The same server, started anew at this time. */
-        public Host bornAt(long ms) {
-            return new Host(name, dial, site, kind, group, availability, share, ms, primary);
+        public Host withBornMs(long newBornMs) {
+            return new Host(name, dial, site, kind, group, availability, share, newBornMs, primary);
         }
     }
 
     /** Servers named in a line of the log at most. */
-    private static final int MOST_NAMED = 8;
+    private static final int MAX_NAMED = 8;
 
     /** The list for a line of the log: its version, and which servers it has draining or removed. */
     public String describe() {
         return "version " + seq + (whole ? ", whole, " : ", ") + hosts.size() + " servers, draining "
-                + named(Availability.DRAINING) + ", removed " + named(Availability.GONE);
+                + namesOf(Availability.DRAINING) + ", removed " + namesOf(Availability.GONE);
     }
 
-    private List<String> named(Availability availability) {
-        return hosts.stream().filter(host -> host.availability() == availability).map(Host::name).limit(MOST_NAMED).toList();
+    private List<String> namesOf(Availability availability) {
+        return hosts.stream().filter(host -> host.availability() == availability).map(Host::name).limit(MAX_NAMED).toList();
     }
 
     /**
@@ -80,38 +80,38 @@
 
     /** {@code lenient}: whether entries that cannot be read are set apart, rather than the whole list refused. */
     static HostList decode(JSONObject list, boolean lenient) {
-        JSONArray lines = list.getJSONArray("hosts");
+        JSONArray entries = list.getJSONArray("hosts");
         List<Host> hosts = new ArrayList<>();
         List<Unfit> unfit = new ArrayList<>();
-        for (int i = 0; i < lines.length(); i++) {
+        for (int i = 0; i < entries.length(); i++) {
             try {
-                hosts.add(host(lines.getJSONObject(i)));
+                hosts.add(host(entries.getJSONObject(i)));
             } catch (JSONException | ConfigException e) {
                 if (!lenient) {
                     throw e;
                 }
-                unfit.add(unfit(lines.optJSONObject(i), e.getMessage()));
+                unfit.add(unfit(entries.optJSONObject(i), e.getMessage()));
             }
         }
         return new HostList(list.getLong("seq"), list.getBoolean("whole"), List.copyOf(hosts), List.copyOf(unfit));
     }
 
-    private static Unfit unfit(JSONObject line, String problem) {
-        return line == null ? new Unfit("", "", problem)
-                : new Unfit(line.optString("host"), line.optString("health"), problem);
+    private static Unfit unfit(JSONObject entry, String problem) {
+        return entry == null ? new Unfit("", "", problem)
+                : new Unfit(entry.optString("host"), entry.optString("health"), problem);
     }
 
-    private static Host host(JSONObject line) {
-        Availability availability = switch (line.getString("health")) {
+    private static Host host(JSONObject entry) {
+        Availability availability = switch (entry.getString("health")) {
             case UP -> Availability.READY;
             case DRAINING -> Availability.DRAINING;
             case REMOVED -> Availability.GONE;
-            default -> throw new JSONException("unknown health " + line.getString("health"));
+            default -> throw new JSONException("unknown health " + entry.getString("health"));
         };
-        return new Host(line.getString("host"),
-                availability == Availability.GONE ? null : Config.address(line.getString("dial")),
-                line.optString("site"), line.optString("class"), line.getInt("block"), availability,
-                line.optDouble("share", 1), line.optLong("born_ms"),
-                line.optString("replication").equals("primary"));
+        return new Host(entry.getString("host"),
+                availability == Availability.GONE ? null : Config.address(entry.getString("dial")),
+                entry.optString("site"), entry.optString("class"), entry.getInt("block"), availability,
+                entry.optDouble("share", 1), entry.optLong("born_ms"),
+                entry.optString("replication").equals("primary"));
     }
 }
--- a/pooler/src/main/java/holdmux/config/SettingsReader.java
+++ b/pooler/src/main/java/holdmux/config/SettingsReader.java
@@ -25,7 +25,7 @@
      * What is each pooler's own, or stands as long as its process: its index and zone, and the names that its tables are
      * built with at the start. A policy for the whole fleet leaves these to each pooler's file.
      */
-    public static final List<String> OWN = List.of("me", "zone", "zones", "skus", "report");
+    public static final List<String> LOCAL_KEYS = List.of("me", "zone", "zones", "skus", "report");
 
     private final Map<String, String> values;
 
@@ -50,7 +50,7 @@
      *
      * @throws ConfigException naming the first key that is missing or out of bounds
      */
-    public static Deployment check(JSONObject settings) {
+    public static Deployment validate(JSONObject settings) {
         try {
             Map<String, String> values = Flattener.flatten(settings);
             values.put("family-info.zero-ns", "0");
@@ -62,19 +62,19 @@
     }
 
     /**
-     * What a fleet's policy means for one pooler: the policy's settings with this pooler's {@link #OWN} in their place.
+     * What a fleet's policy means for one pooler: the policy's settings with this pooler's {@link #LOCAL_KEYS} in their place.
      *
      * @param own    the {@code settings} of the pooler's file
      * @param policy the {@code settings} of the policy
      * @param zeroNs where positions count from on the pooler's clock
      * @throws ConfigException naming the first key that is missing or out of bounds
      */
-    public static Deployment overlay(JSONObject own, JSONObject policy, long zeroNs) {
+    public static Deployment overlay(JSONObject localSettings, JSONObject policySettings, long zeroNs) {
         try {
-            JSONObject merged = new JSONObject(policy.toString());
-            for (String key : OWN) {
+            JSONObject merged = new JSONObject(policySettings.toString());
+            for (String key : LOCAL_KEYS) {
                 merged.remove(key);
-                merged.putOpt(key, own.opt(key));
+                merged.putOpt(key, localSettings.opt(key));
             }
             Map<String, String> values = Flattener.flatten(merged);
             values.put("family-info.zero-ns", Long.toString(zeroNs));
@@ -89,11 +89,11 @@
         int classes = (int) atLeast("request-classes.count", 1);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
-            String at = "request-classes." + i + ".name";
-            if (names.contains(text(at))) {
-                throw new ConfigException("settings: " + at + " is " + text(at) + ", as an earlier class is");
+            String nameKey = "request-classes." + i + ".name";
+            if (names.contains(required(nameKey))) {
+                throw new ConfigException("settings: " + nameKey + " is " + required(nameKey) + ", as an earlier class is");
             }
-            names.add(text(at));
+            names.add(required(nameKey));
         }
         return new Deployment(settings(), List.copyOf(names), list("zones", ""), list("skus", ""),
                 list("report.fields", ""), atLeast("allowed.conn-idle-ns", 1),
@@ -103,11 +103,11 @@
     private Settings settings() {
         List<String> fields = list("report.fields", "");
         return new Settings((int) number("me"), (int) atLeast("balancers", 1), (int) number("zone"),
-                atLeast("step-ns", 1), classes(), quotas(), real("over-share-worth", 1),
-                constant(Guards.class, "family-info.guards", text("family-info.guards")),
+                atLeast("step-ns", 1), classes(), quotas(), decimal("over-share-worth", 1),
+                enumConstant(Guards.class, "family-info.guards", required("family-info.guards")),
                 number("family-info.wait-ns", 0), number("family-info.zero-ns"),
-                text("family-info.token-mode").equals("remembered"),
-                !get("family-info.shows-role", "off").equals("off"), text("discovery").equals("subscribe"),
+                required("family-info.token-mode").equals("remembered"),
+                !getOrDefault("family-info.shows-role", "off").equals("off"), required("discovery").equals("subscribe"),
                 rules(), limits(), fields.indexOf("x0"), fields.indexOf("x1"), fields.indexOf("backlog"),
                 fields.indexOf("outstanding"), fields.indexOf("utilization"));
     }
@@ -122,13 +122,13 @@
         }
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String at = "request-classes." + i + ".";
-            classes.add(new RequestClass(constant(Consistency.class, "family-info.consistency", consistency.get(i)),
-                    parse("family-info.class-bound-ns", bounds.get(i)), atLeast(at + "on-time-ns", 1),
-                    atLeast(at + "deadline-ns", 1), real(at + "worth", 1), real(at + "late-worth", 0),
-                    constant(Effect.class, at + "effect", text(at + "effect")),
-                    constant(Scope.class, at + "dedup-scope", get(at + "dedup-scope", "all")),
-                    atLeast(at + "window-ns", 0, 0)));
+            String prefix = "request-classes." + i + ".";
+            classes.add(new RequestClass(enumConstant(Consistency.class, "family-info.consistency", consistency.get(i)),
+                    parse("family-info.class-bound-ns", bounds.get(i)), atLeast(prefix + "on-time-ns", 1),
+                    atLeast(prefix + "deadline-ns", 1), decimal(prefix + "worth", 1), decimal(prefix + "late-worth", 0),
+                    enumConstant(Effect.class, prefix + "effect", required(prefix + "effect")),
+                    enumConstant(Scope.class, prefix + "dedup-scope", getOrDefault(prefix + "dedup-scope", "all")),
+                    atLeast(prefix + "window-ns", 0, 0)));
         }
         return List.copyOf(classes);
     }
@@ -136,19 +136,19 @@
     private List<Double> quotas() {
         List<Double> quotas = new ArrayList<>();
         for (int i = 0; i < number("tenants.count", 0); i++) {
-            quotas.add(real("tenants." + i + ".quota-per-s", 0));
+            quotas.add(decimal("tenants." + i + ".quota-per-s", 0));
         }
         return List.copyOf(quotas);
     }
 
     private Rules rules() {
-        double coldShare = real("guarantees.cold-share", 1);
+        double coldShare = decimal("guarantees.cold-share", 1);
         if (!(coldShare >= 0 && coldShare <= 1)) {
             throw new ConfigException("settings: guarantees.cold-share is " + coldShare + ", no part of a whole");
         }
         return new Rules(atLeast("guarantees.answer-slack-ns", 0), atLeast("guarantees.drain-grace-ns", 0),
                 coldShare, atLeast("guarantees.ramp-time-ns", 0),
-                real("guarantees.overload-factor", 1), atLeast("guarantees.fall-ns", 0),
+                decimal("guarantees.overload-factor", 1), atLeast("guarantees.fall-ns", 0),
                 flag("guarantees.gone-is-advice"), number("guarantees.ask-every-ns", 0));
     }
 
@@ -158,11 +158,11 @@
                 number("allowed.max-retry-after-ns", 0), flag("allowed.peers"));
     }
 
-    private String get(String key, String absent) {
-        return values.getOrDefault(key, absent);
+    private String getOrDefault(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
-    private String text(String key) {
+    private String required(String key) {
         String value = values.get(key);
         if (value == null) {
             throw new ConfigException("settings: " + key + " is missing");
@@ -171,28 +171,28 @@
     }
 
     private boolean flag(String key) {
-        return Boolean.parseBoolean(get(key, "false"));
+        return Boolean.parseBoolean(getOrDefault(key, "false"));
     }
 
     private long number(String key) {
-        return parse(key, text(key));
+        return parse(key, required(key));
     }
 
-    private long number(String key, long absent) {
+    private long number(String key, long defaultValue) {
         String value = values.get(key);
-        return value == null ? absent : parse(key, value);
+        return value == null ? defaultValue : parse(key, value);
     }
 
-    private long atLeast(String key, long least) {
+    private long atLeast(String key, long min) {
         long value = number(key);
-        if (value < least) {
-            throw new ConfigException("settings: " + key + " is " + value + ", less than " + least);
+        if (value < min) {
+            throw new ConfigException("settings: " + key + " is " + value + ", less than " + min);
         }
         return value;
     }
 
-    private long atLeast(String key, long least, long absent) {
-        return values.containsKey(key) ? atLeast(key, least) : absent;
+    private long atLeast(String key, long min, long defaultValue) {
+        return values.containsKey(key) ? atLeast(key, min) : defaultValue;
     }
 
     private static long parse(String key, String value) {
@@ -203,21 +203,21 @@
         }
     }
 
-    private double real(String key, double absent) {
+    private double decimal(String key, double defaultValue) {
         String value = values.get(key);
         try {
-            return value == null ? absent : Double.parseDouble(value);
+            return value == null ? defaultValue : Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw new ConfigException("settings: " + key + " is not a number: " + value);
         }
     }
 
-    private List<String> list(String key, String absent) {
-        String value = absent == null ? text(key) : get(key, absent);
+    private List<String> list(String key, String defaultValue) {
+        String value = defaultValue == null ? required(key) : getOrDefault(key, defaultValue);
         return List.of(value.split(","));
     }
 
-    private static <E extends Enum<E>> E constant(Class<E> type, String key, String value) {
+    private static <E extends Enum<E>> E enumConstant(Class<E> type, String key, String value) {
         try {
             return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
--- a/pooler/src/main/java/holdmux/core/Attempt.java
+++ b/pooler/src/main/java/holdmux/core/Attempt.java
@@ -9,33 +9,33 @@
  * any other thread may cut it off, which closes that connection and so abandons the attempt.
  */
 public final class Attempt {
-    public final long store;
+    public final long serverId;
     public final long startedAt;
-    public final long limitNs;
+    public final long timeoutNs;
     /** The number of this attempt within its request. */
     final int number;
-    private final Permit permit;
+    private final SendGuard guard;
     /** When it was let go out, on the {@link Clock}; 0 if it was not. Under the balancer's lock. */
     long permittedAt;
     private Closeable connection;
-    private Outcome cutAs;
-    private boolean written;
-    private boolean connected;
-    private boolean over;
-    private boolean provenUnrun;
+    private Outcome abortOutcome;
+    private boolean markWritten;
+    private boolean markConnected;
+    private boolean finished;
+    private boolean failUnprocessed;
 
-    /** The {@code number}-th of its request; {@code permit}: whether what it was decided on still holds, see {@link #stands}. */
-    public Attempt(long store, int number, long startedAt, long limitNs, Permit permit) {
-        this.store = store;
+    /** The {@code number}-th of its request; {@code permit}: whether what it was decided on still holds, see {@link #mayWrite}. */
+    public Attempt(long serverId, int number, long startedAt, long timeoutNs, SendGuard guard) {
+        this.serverId = serverId;
         this.number = number;
         this.startedAt = startedAt;
-        this.limitNs = limitNs;
-        this.permit = permit;
+        this.timeoutNs = timeoutNs;
+        this.guard = guard;
     }
 
     /** Puts the attempt on a connection; false, with the connection closed, if it was cut off before. */
-    public synchronized boolean carriedBy(Closeable connection) {
-        if (cutAs != null) {
+    public synchronized boolean attachConnection(Closeable connection) {
+        if (abortOutcome != null) {
             close(connection);
             return false;
         }
@@ -44,69 +44,69 @@
     }
 
     /** Its connection has come up: a connect time-out that was on its way no longer counts. */
-    public synchronized void connected() {
-        connected = true;
+    public synchronized void markConnected() {
+        markConnected = true;
     }
 
     /**
      * Whether it may still be written, asked right before that: a connection that came up late has let data grow older
      * than a bound allows, a server lose its role or begin to drain. Where not, it was never sent.
      */
-    public boolean stands() {
-        return permit.mayWrite();
+    public boolean mayWrite() {
+        return guard.mayWrite();
     }
 
     /** From the last byte on it may have run. */
-    public void written() {
+    public void markWritten() {
         synchronized (this) {
-            written = true;
+            markWritten = true;
         }
-        permit.written();
+        guard.onWritten();
     }
 
     /** Notes how it ended. */
-    synchronized void ended(Outcome outcome) {
-        provenUnrun = outcome.neverRan;
+    synchronized void recordOutcome(Outcome outcome) {
+        failUnprocessed = outcome.neverRan;
     }
 
     /** Whether it was written and nothing has proven since that it did not run. */
     synchronized boolean mayHaveRun() {
-        return written && !provenUnrun;
+        return markWritten && !failUnprocessed;
     }
 
     /** Ends the attempt from outside, with the outcome it then has if its connection breaks. */
-    public synchronized void cut(Outcome as) {
-        if (!over && cutAs == null && !(connected && as == Outcome.CONNECT_FAILED)) {
-            cutAs = as;
+    public synchronized void abort(Outcome outcome) {
+        if (!finished && abortOutcome == null && !(markConnected && outcome == Outcome.CONNECT_FAILED)) {
+            abortOutcome = outcome;
             close(connection);
         }
     }
 
     /** The attempt has its whole answer: its connection is free, and a later cut does not touch it. */
     public synchronized boolean complete() {
-        over = cutAs == null;
-        return over;
+        finished = abortOutcome == null;
+        return finished;
     }
 
     /** What a broken connection means, by the protocol's table: nothing ran until the last byte was written. */
-    public synchronized Outcome broken() {
-        over = true;
-        if (written) {
-            return cutAs == null || cutAs == Outcome.CONNECT_FAILED ? Outcome.RESET : cutAs;
+    public synchronized Outcome failDisconnected() {
+        finished = true;
+        if (markWritten) {
+            return abortOutcome == null || abortOutcome == Outcome.CONNECT_FAILED ? Outcome.RESET : abortOutcome;
         }
-        return cutAs == Outcome.CANCELLED ? Outcome.MOOT : Outcome.CONNECT_FAILED;
+        return abortOutcome == Outcome.CANCELLED ? Outcome.MOOT : Outcome.CONNECT_FAILED;
     }
 
     /** The connection broke, and its protocol proves that the server never took the request up. */
-    public synchronized Outcome provenUnrun() {
-        over = true;
-        return cutAs == Outcome.CANCELLED ? Outcome.MOOT : Outcome.CONNECT_FAILED;
+    public synchronized Outcome failUnprocessed() {
+        finished = true;
+        return abortOutcome == Outcome.CANCELLED ? Outcome.MOOT : Outcome.CONNECT_FAILED;
     }
 
     /** What it means that this program itself had no room to go on: the server is not to blame. */
-    public synchronized Outcome droppedHere() {
-        over = true;
-        return written ? Outcome.CANCELLED : Outcome.MOOT;
+    public synchronized Outcome failLocally() {
+        finished = true;
+        return markWritten ? Outcome.CANCELLED : Outcome.MOOT;
     }
 
     private static void close(Closeable connection) {
