--- a/pooler/src/main/java/holdmux/core/Balancer.java
+++ b/pooler/src/main/java/holdmux/core/Balancer.java
@@ -3,7 +3,7 @@
 import holdmux.config.Deployment;
 import holdmux.config.HostList;
 import holdmux.core.Counters.Counter;
-import holdmux.core.Upstream.Attempted;
+import holdmux.core.Upstream.AttemptResult;
 import holdmux.decision.EndReason;
 import holdmux.decision.ReadWriteSplitter;
 import holdmux.decision.SplitterApi.Action;
@@ -16,7 +16,7 @@
 import holdmux.decision.SplitterApi.Consistency;
 import holdmux.decision.SplitterApi.Decline;
 import holdmux.decision.SplitterApi.Event;
-import holdmux.decision.SplitterApi.GiveUp;
+import holdmux.decision.SplitterApi.AbortRequest;
 import holdmux.decision.SplitterApi.Inspect;
 import holdmux.decision.SplitterApi.ListChanged;
 import holdmux.decision.SplitterApi.Listing;
@@ -24,11 +24,11 @@
 import holdmux.decision.SplitterApi.Remark;
 import holdmux.decision.SplitterApi.RespondError;
 import holdmux.decision.SplitterApi.Retract;
-import holdmux.decision.SplitterApi.Retuned;
+import holdmux.decision.SplitterApi.SettingsChanged;
 import holdmux.decision.SplitterApi.Schedule;
 import holdmux.decision.SplitterApi.Transmit;
 import holdmux.decision.SplitterApi.Wakeup;
-import holdmux.decision.SplitterApi.Written;
+import holdmux.decision.SplitterApi.LastWrite;
 import holdmux.statement.Statement;
 import java.io.IOException;
 import java.util.HashMap;
@@ -41,75 +41,75 @@
 
 /**
  * The decision module behind one lock: events go in as they come, actions go to whom they concern. Knows no protocol and
- * no sockets: a front takes requests and is a {@link Client} of each, an {@link Upstream} carries attempts out.
+ * no sockets: a front takes requests and is a {@link Responder} of each, an {@link Upstream} carries attempts out.
  */
 public final class Balancer {
     private final Clock clock;
     private final Deadlines deadlines;
     private final Counters counters;
-    private final Fleet fleet;
+    private final ServerRegistry registry;
     private final Executor workers;
     private final ReentrantLock lock = new ReentrantLock();
-    private final ReadWriteSplitter module;
+    private final ReadWriteSplitter splitter;
     private volatile Deployment deployment;
-    private final SendGate gate;
-    private final Map<Long, Request> open = new HashMap<>();
+    private final SendGate sendGate;
+    private final Map<Long, Request> openRequests = new HashMap<>();
     private LongFunction<Upstream> upstreams;
-    private WriteLog writeLog = write -> { };
+    private WriteListener writeListener = write -> { };
     private long lastId;
 
     public Balancer(Deployment deployment, long seed, Clock clock, Deadlines deadlines,
-            Counters counters, Fleet fleet, Executor workers) {
+            Counters counters, ServerRegistry registry, Executor workers) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.counters = counters;
-        this.fleet = fleet;
+        this.registry = registry;
         this.workers = workers;
         this.deployment = deployment;
-        module = new ReadWriteSplitter(deployment.settings(), seed);
-        gate = new SendGate(counters, fleet);
+        splitter = new ReadWriteSplitter(deployment.settings(), seed);
+        sendGate = new SendGate(counters, registry);
     }
 
     /** Names who reaches each server; before the first list. */
-    public void connect(LongFunction<Upstream> upstreams) {
+    public void setUpstreams(LongFunction<Upstream> upstreams) {
         this.upstreams = upstreams;
     }
 
     public void listChanged(HostList list, boolean cached) {
         lock.lock();
         try {
-            long stale = fleet.staleEntries();
-            ListChanged change = fleet.take(list, cached);
-            gate.told(change, clock.now());
-            feed(change);
+            long staleBefore = registry.staleEntries();
+            ListChanged change = registry.apply(list, cached);
+            sendGate.updateAvailability(change, clock.now());
+            handleEvent(change);
             counters.count(Counter.LISTS_TAKEN);
-            counters.add(Counter.STALE_ENTRIES, fleet.staleEntries() - stale);
-            change.lines().forEach(this::countTold);
+            counters.add(Counter.STALE_ENTRIES, registry.staleEntries() - staleBefore);
+            change.lines().forEach(this::countDrainOrRemoval);
         } finally {
             lock.unlock();
         }
     }
 
     /** From now on nothing is sent to any server until {@link #listConfirmed}. */
-    public void awaitList() {
-        awaitList(true);
+    public void requireListConfirmation() {
+        requireListConfirmation(true);
     }
 
     /** Discovery has confirmed the list of servers. */
     public void listConfirmed() {
-        awaitList(false);
+        requireListConfirmation(false);
     }
 
-    private void awaitList(boolean yes) {
+    private void requireListConfirmation(boolean required) {
         lock.lock();
         try {
-            gate.awaitList(yes);
+            sendGate.requireListConfirmation(required);
         } finally {
             lock.unlock();
         }
     }
 
-    private void countTold(Listing line) {
+    private void countDrainOrRemoval(Listing line) {
         if (line.availability() == Availability.DRAINING) {
             counters.count(Counter.DRAINS_TOLD);
         } else if (line.availability() == Availability.GONE) {
@@ -118,25 +118,25 @@
     }
 
     /** Names who hears of each write before its client sees the answer. */
-    public void tellWritesTo(WriteLog log) {
-        writeLog = log;
+    public void setWriteListener(WriteListener listener) {
+        writeListener = listener;
     }
 
     /** All sessions' writes that a second process of this pooler must know of. */
-    public List<Written> writes() {
+    public List<LastWrite> writes() {
         lock.lock();
         try {
-            return module.writes();
+            return splitter.lastWrites();
         } finally {
             lock.unlock();
         }
     }
 
     /** A write that another process of this pooler answered. */
-    public void written(Written write) {
+    public void applyWrite(LastWrite write) {
         lock.lock();
         try {
-            feed(write);
+            handleEvent(write);
         } finally {
             lock.unlock();
         }
@@ -148,11 +148,11 @@
     }
 
     /** Puts another deployment's settings in force; requests that are open keep what they came under. */
-    public void retune(Deployment next) {
+    public void reconfigure(Deployment next) {
         lock.lock();
         try {
-            List<Integer> was = next.classes().stream().map(deployment.classes()::indexOf).toList();
-            feed(new Retuned(next.settings(), was));
+            List<Integer> previousIndices = next.classes().stream().map(deployment.classes()::indexOf).toList();
+            handleEvent(new SettingsChanged(next.settings(), previousIndices));
             deployment = next;
         } finally {
             lock.unlock();
@@ -160,12 +160,12 @@
     }
 
     /** Leaves out just these servers, named with the Unix time in milliseconds since when, from now on. */
-    public void leaveOut(Map<String, Long> servers) {
+    public void setExcluded(Map<String, Long> servers) {
         lock.lock();
         try {
-            ListChanged change = fleet.leaveOut(servers, clock.now() / Clock.MS);
-            gate.told(change, clock.now());
-            feed(change);
+            ListChanged change = registry.setExcluded(servers, clock.now() / Clock.MS);
+            sendGate.updateAvailability(change, clock.now());
+            handleEvent(change);
             change.lines().stream().filter(line -> line.availability() == Availability.DRAINING)
                     .forEach(line -> closeIdle(line.store()));
         } finally {
@@ -173,13 +173,13 @@
         }
     }
 
-    /** A request that has come in whole; its life must be started, or be given up with {@link #left}. */
-    public Request taken(Request.Call call) {
+    /** A request that has come in whole; its life must be started, or be given up with {@link #clientLeft}. */
+    public Request openRequest(Request.Spec spec) {
         lock.lock();
         try {
             counters.count(Counter.REQUESTS_TAKEN);
-            Request request = new Request(++lastId, call);
-            open.put(request.id, request);
+            Request request = new Request(++lastId, spec);
+            openRequests.put(request.id, request);
             return request;
         } finally {
             lock.unlock();
@@ -190,34 +190,34 @@
      * The life of one request, from its arrival to its one final answer: the module is told of it, its sends are
      * carried out one at a time (it never has two out), and their outcomes go back before the client sees anything.
      */
-    public void life(Request request, Statement statement, Client client) {
-        boolean answering = false;
+    public void execute(Request request, Statement statement, Responder responder) {
+        boolean answerStarted = false;
         try {
-            arrived(request);
+            submit(request);
             while (true) {
                 Request.Step step = request.next();
                 if (step instanceof Request.Send send) {
                     Attempt attempt = send.attempt();
-                    Deadlines.Deadline timeOut = deadlines.at(attempt.startedAt + attempt.limitNs,
-                            () -> attempt.cut(Outcome.TIMEOUT));
-                    Attempted attempted = carryOut(attempt, statement, client);
+                    Deadlines.Deadline timeOut = deadlines.at(attempt.startedAt + attempt.timeoutNs,
+                            () -> attempt.abort(Outcome.TIMEOUT));
+                    AttemptResult attemptResult = runAttempt(attempt, statement, responder);
                     deadlines.cancel(timeOut);
-                    answered(request, attempt, attempted.reply());
-                    tellWrite(request.call, attempted.reply());
-                    if (attempted.reply().outcome() == Outcome.OK) {
-                        answering = true;
-                        pass(attempted.value(), client);
+                    attemptEnded(request, attempt, attemptResult.reply());
+                    reportWrite(request.spec, attemptResult.reply());
+                    if (attemptResult.reply().outcome() == Outcome.OK) {
+                        answerStarted = true;
+                        deliver(attemptResult.queryResult(), responder);
                         return;
                     }
                 } else if (step instanceof Request.End end && end.answer() instanceof Decline decline) {
-                    answering = true;
+                    answerStarted = true;
                     counters.count(Counter.REFUSED);
-                    client.refuse(decline.waitNs());
+                    responder.refuse(decline.waitNs());
                     return;
                 } else if (step instanceof Request.End) {
-                    answering = true;
+                    answerStarted = true;
                     counters.count(Counter.FAILED);
-                    client.fail();
+                    responder.fail();
                     return;
                 } else {
                     counters.count(Counter.CLIENTS_LEFT);
@@ -228,79 +228,79 @@
             counters.count(Counter.ANSWERS_UNDELIVERED);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            failHere(request, client, answering);
+            failOnInternalError(request, responder, answerStarted);
         } catch (RuntimeException | Error e) {
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("request " + request.id + " failed here", e);
-            failHere(request, client, answering);
+            failOnInternalError(request, responder, answerStarted);
         } finally {
-            forget(request);
+            closeRequest(request);
         }
     }
 
     /** A fault of this program ends the request, with its final answer where that has not begun. */
-    private void failHere(Request request, Client client, boolean answering) {
-        boolean gone = request.leftAt > 0;
-        left(request); // what is out for it is given up
-        if (answering || gone) {
+    private void failOnInternalError(Request request, Responder responder, boolean answerStarted) {
+        boolean clientGone = request.clientLeftAt > 0;
+        clientLeft(request); // what is out for it is given up
+        if (answerStarted || clientGone) {
             return;
         }
         try {
             counters.count(Counter.FAILED);
-            client.fail();
+            responder.fail();
         } catch (IOException e) {
             counters.count(Counter.ANSWERS_UNDELIVERED);
         } catch (RuntimeException | Error e) {
-            gate.unanswered(request);
+            sendGate.reportUnanswered(request);
             throw e;
         }
     }
 
     /** The final answer of a request that has run: its value, or that it cannot be told. */
-    private void pass(Value value, Client client) throws IOException {
-        if (value == null) {
+    private void deliver(QueryResult result, Responder responder) throws IOException {
+        if (result == null) {
             counters.count(Counter.VALUES_UNFIT);
             counters.count(Counter.FAILED);
-            client.fail();
+            responder.fail();
             return;
         }
-        try (value) {
+        try (result) {
             counters.count(Counter.SERVED);
-            client.serve(value);
+            responder.serve(result);
         }
     }
 
-    private void arrived(Request request) {
-        Request.Call call = request.call;
+    private void submit(Request request) {
+        Request.Spec spec = request.spec;
         lock.lock();
         try {
-            if (request.over) {
+            if (request.finished) {
                 return; // the client left before its request was begun
             }
             long now = clock.now();
-            long token = call.tokenPositionNs() == 0 ? 0 : Math.max(1, now - call.tokenPositionNs());
+            long tokenAgeNs = spec.tokenPositionNs() == 0 ? 0 : Math.max(1, now - spec.tokenPositionNs());
             // by name and under the lock, so that no number crosses a change of settings
-            int index = deployment.classes().indexOf(call.className());
-            if (index < 0 || deployment.settings().classes().get(index).consistency() != call.consistency()) {
+            int index = deployment.classes().indexOf(spec.className());
+            if (index < 0 || deployment.settings().classes().get(index).consistency() != spec.consistency()) {
                 // its class went while it came in
-                end(request.id, new Decline(request.id, 0, EndReason.CLASS_DROPPED), EndReason.CLASS_DROPPED);
+                endRequest(request.id, new Decline(request.id, 0, EndReason.CLASS_DROPPED), EndReason.CLASS_DROPPED);
                 return;
             }
             request.effect = deployment.settings().classes().get(index).effect();
-            feed(new Arrived(request.id, index, call.retry(), call.remainingNs(), token, 0,
-                    call.session(), 0, call.group()));
+            handleEvent(new Arrived(request.id, index, spec.isRetry(), spec.remainingNs(), tokenAgeNs, 0,
+                    spec.session(), 0, spec.group()));
         } finally {
             lock.unlock();
         }
     }
 
-    private void answered(Request request, Attempt attempt, Reply reply) {
+    private void attemptEnded(Request request, Attempt attempt, Reply reply) {
         lock.lock();
         try {
             counters.count(outcomeCounter(reply.outcome()));
-            attempt.ended(reply.outcome());
-            request.over |= reply.outcome() == Outcome.OK;
-            feed(new Answered(request.id, attempt.store, attempt.number, request.over, reply.outcome(),
+            attempt.recordOutcome(reply.outcome());
+            request.finished |= reply.outcome() == Outcome.OK;
+            handleEvent(new Answered(request.id, attempt.serverId, attempt.number, request.finished, reply.outcome(),
                     clock.now() - attempt.startedAt, reply.role(), reply.positionNs(), reply.report()));
         } finally {
             lock.unlock();
@@ -308,11 +308,11 @@
     }
 
     /** Where its answer was not heard, a write may have taken effect up to now. */
-    private void tellWrite(Request.Call call, Reply reply) {
-        if (call.consistency() == Consistency.WRITE && !reply.outcome().neverRan) {
-            boolean told = reply.outcome() == Outcome.OK && reply.positionNs() > 0;
-            long position = told ? reply.positionNs() : clock.now() + Clock.MS;
-            writeLog.written(new Written(call.group(), call.session(), position));
+    private void reportWrite(Request.Spec spec, Reply reply) {
+        if (spec.consistency() == Consistency.WRITE && !reply.outcome().neverRan) {
+            boolean positionKnown = reply.outcome() == Outcome.OK && reply.positionNs() > 0;
+            long position = positionKnown ? reply.positionNs() : clock.now() + Clock.MS;
+            writeListener.onWrite(new LastWrite(spec.group(), spec.session(), position));
         }
     }
 
@@ -323,8 +323,8 @@
     public void giveUpAll() {
         lock.lock();
         try {
-            List.copyOf(open.values()).stream().filter(request -> !request.over)
-                    .forEach(request -> feed(new GiveUp(request.id)));
+            List.copyOf(openRequests.values()).stream().filter(request -> !request.finished)
+                    .forEach(request -> handleEvent(new AbortRequest(request.id)));
         } finally {
             lock.unlock();
         }
@@ -335,15 +335,15 @@
     }
 
     /** The client has gone away, or wants no answer any more: what is still out for it is given up. */
-    public void left(Request request) {
+    public void clientLeft(Request request) {
         lock.lock();
         try {
-            if (!request.over) {
-                request.over = true;
-                request.leftAt = clock.now();
-                feed(new ClientLeft(request.id));
-                request.attempts.forEach(attempt -> attempt.cut(Outcome.CANCELLED));
-                request.post(new Request.Left());
+            if (!request.finished) {
+                request.finished = true;
+                request.clientLeftAt = clock.now();
+                handleEvent(new ClientLeft(request.id));
+                request.attempts.forEach(attempt -> attempt.abort(Outcome.CANCELLED));
+                request.post(new Request.ClientGone());
             }
         } finally {
             lock.unlock();
@@ -351,48 +351,48 @@
     }
 
     /** Carries out an attempt; a fault of ours on the way is the attempt's, not the program's. */
-    private Attempted carryOut(Attempt attempt, Statement statement, Client client) {
+    private AttemptResult runAttempt(Attempt attempt, Statement statement, Responder responder) {
         try {
-            return upstreams.apply(attempt.store).attempt(attempt, statement, client.form());
+            return upstreams.apply(attempt.serverId).attempt(attempt, statement, responder.resultShape());
         } catch (RuntimeException e) {
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("an attempt failed here", e);
-            return new Attempted(Reply.of(attempt.broken()), null);
+            return new AttemptResult(Reply.of(attempt.failDisconnected()), null);
         }
     }
 
     /** Drops a request whose life is over or could not be started. */
-    public void forget(Request request) {
+    public void closeRequest(Request request) {
         lock.lock();
         try {
-            open.remove(request.id);
+            openRequests.remove(request.id);
         } finally {
             lock.unlock();
         }
     }
 
-    private void wakeup(int handle) {
+    private void timerFired(int handle) {
         lock.lock();
         try {
-            feed(new Wakeup(handle));
+            handleEvent(new Wakeup(handle));
         } finally {
             lock.unlock();
         }
     }
 
-    private void checked(long store, Reply reply, long latencyNs) {
+    private void probeEnded(long serverId, Reply reply, long latencyNs) {
         lock.lock();
         try {
-            feed(new Checked(store, reply.outcome(), latencyNs, reply.report()));
+            handleEvent(new Checked(serverId, reply.outcome(), latencyNs, reply.report()));
         } finally {
             lock.unlock();
         }
     }
 
     /** One event, at this moment; only with the lock held, and never from within the module. */
-    private void feed(Event event) {
+    private void handleEvent(Event event) {
         try {
-            module.handle(clock.now(), List.of(event), this::route);
+            splitter.handle(clock.now(), List.of(event), this::performAction);
         } catch (RuntimeException e) {
             // a fault in a decision fails the request it was about, not the program
             counters.count(Counter.INTERNAL_ERRORS);
@@ -401,28 +401,28 @@
             if (event instanceof ListChanged) {
                 throw e; // half of it may have been taken in: whoever told it must tell it again
             }
-            if (open.containsKey(id)) {
-                end(id, new RespondError(id, EndReason.INTERNAL_ERROR), EndReason.INTERNAL_ERROR);
+            if (openRequests.containsKey(id)) {
+                endRequest(id, new RespondError(id, EndReason.INTERNAL_ERROR), EndReason.INTERNAL_ERROR);
             }
         }
     }
 
-    private void route(Action action) {
+    private void performAction(Action action) {
         if (action instanceof Transmit t) {
-            transmit(t);
+            startAttempt(t);
         } else if (action instanceof Retract r) {
-            Request request = open.get(r.id());
+            Request request = openRequests.get(r.id());
             if (request != null) {
-                request.attempts.get(r.attempt()).cut(Outcome.CANCELLED);
+                request.attempts.get(r.attempt()).abort(Outcome.CANCELLED);
             }
         } else if (action instanceof Decline d) {
-            end(d.id(), d, d.reason());
+            endRequest(d.id(), d, d.reason());
         } else if (action instanceof RespondError e) {
-            end(e.id(), e, e.reason());
+            endRequest(e.id(), e, e.reason());
         } else if (action instanceof Schedule s) {
-            deadlines.after(s.afterNs(), () -> wakeup(s.handle()));
+            deadlines.after(s.afterNs(), () -> timerFired(s.handle()));
         } else if (action instanceof Inspect i) {
-            inspect(i.store());
+            startProbe(i.store());
         } else if (action instanceof CloseIdle c) {
             closeIdle(c.store());
         } else if (action instanceof Remark r) {
@@ -431,22 +431,22 @@
         // Subscribe and ListAll: the watch runs from the start and needs no asking. MemoTo: there are no peers.
     }
 
-    private void closeIdle(long store) {
-        upstreams.apply(store).closeIdle(store);
+    private void closeIdle(long serverId) {
+        upstreams.apply(serverId).closeIdle(serverId);
     }
 
-    private void transmit(Transmit t) {
-        Request request = open.get(t.id());
+    private void startAttempt(Transmit t) {
+        Request request = openRequests.get(t.id());
         int number = request.attempts.size();
-        Attempt attempt = new Attempt(t.store(), number, clock.now(), t.limitNs(), new Permit() {
+        Attempt attempt = new Attempt(t.store(), number, clock.now(), t.limitNs(), new SendGuard() {
             @Override
             public boolean mayWrite() {
                 return Balancer.this.mayWrite(request, number);
             }
 
             @Override
-            public void written() {
-                wrote(request, number);
+            public void onWritten() {
+                attemptWritten(request, number);
             }
         });
         if (number > 0) {
@@ -461,17 +461,17 @@
         lock.lock();
         try {
             long now = clock.now();
-            return gate.permits(request, request.attempts.get(number), module.mayWrite(now, request.id, number),
+            return sendGate.permits(request, request.attempts.get(number), splitter.sendPermission(now, request.id, number),
                     goneIsAdvice(), now);
         } finally {
             lock.unlock();
         }
     }
 
-    private void wrote(Request request, int number) {
+    private void attemptWritten(Request request, int number) {
         lock.lock();
         try {
-            gate.written(request, request.attempts.get(number), goneIsAdvice(),
+            sendGate.checkWritten(request, request.attempts.get(number), goneIsAdvice(),
                     deployment.settings().rules().drainGraceNs(), clock.now());
         } finally {
             lock.unlock();
@@ -481,7 +481,7 @@
     private boolean mayProbe(Attempt probe) {
         lock.lock();
         try {
-            return gate.permitsProbe(probe, goneIsAdvice(), clock.now());
+            return sendGate.permitsProbe(probe, goneIsAdvice(), clock.now());
         } finally {
             lock.unlock();
         }
@@ -491,36 +491,36 @@
         return deployment.settings().rules().goneIsAdvice();
     }
 
-    private void end(long id, Action answer, EndReason reason) {
-        Request request = open.get(id);
-        if (request != null && !request.over) {
-            counters.count(Counter.ended(reason));
-            request.over = true;
+    private void endRequest(long id, Action answer, EndReason reason) {
+        Request request = openRequests.get(id);
+        if (request != null && !request.finished) {
+            counters.count(Counter.forEndReason(reason));
+            request.finished = true;
             // also where the module may not retract: on sockets an attempt is given up by closing, and the client waits
-            request.attempts.forEach(attempt -> attempt.cut(Outcome.CANCELLED));
+            request.attempts.forEach(attempt -> attempt.abort(Outcome.CANCELLED));
             request.post(new Request.End(answer));
         }
     }
 
-    private void inspect(long store) {
+    private void startProbe(long serverId) {
         counters.count(Counter.PROBES);
         Attempt[] probe = new Attempt[1];
-        Attempt attempt = new Attempt(store, 0, clock.now(), deployment.connectTimeoutNs(), () -> mayProbe(probe[0]));
+        Attempt attempt = new Attempt(serverId, 0, clock.now(), deployment.connectTimeoutNs(), () -> mayProbe(probe[0]));
         probe[0] = attempt;
         try {
-            workers.execute(() -> probe(attempt));
+            workers.execute(() -> runProbe(attempt));
         } catch (RejectedExecutionException e) {
             // our own lack of threads says nothing of the server: as if it had been too busy to tell
-            deadlines.after(0, () -> checked(store, Reply.of(Outcome.FULL), 0));
+            deadlines.after(0, () -> probeEnded(serverId, Reply.of(Outcome.FULL), 0));
         }
     }
 
-    private void probe(Attempt attempt) {
-        Deadlines.Deadline timeOut = deadlines.at(attempt.startedAt + attempt.limitNs,
-                () -> attempt.cut(Outcome.TIMEOUT));
+    private void runProbe(Attempt attempt) {
+        Deadlines.Deadline timeOut = deadlines.at(attempt.startedAt + attempt.timeoutNs,
+                () -> attempt.abort(Outcome.TIMEOUT));
         Reply reply = Reply.of(Outcome.ERROR);
         try {
-            reply = upstreams.apply(attempt.store).probe(attempt);
+            reply = upstreams.apply(attempt.serverId).probe(attempt);
         } catch (RuntimeException e) {
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("a probe failed here", e);
@@ -529,6 +529,6 @@
         if (reply.outcome() != Outcome.OK) {
             counters.count(Counter.PROBES_FAILED);
         }
-        checked(attempt.store, reply, clock.now() - attempt.startedAt);
+        probeEnded(attempt.serverId, reply, clock.now() - attempt.startedAt);
     }
 }
--- a/pooler/src/main/java/holdmux/core/Clock.java
+++ b/pooler/src/main/java/holdmux/core/Clock.java
@@ -11,9 +11,9 @@
     public static final long MS = 1_000_000L;
 
     /** Tries at reading both clocks at one moment; a start is busy, and a stall between the two readings stays for good. */
-    private static final int TRIES = 8;
+    private static final int ANCHOR_ATTEMPTS = 8;
 
-    private final LongSupplier steady;
+    private final LongSupplier monotonic;
     private final long offset;
 
     public Clock() {
@@ -24,18 +24,18 @@
      * Anchored by the readings that lay closest together, and to the earlier of the steady ones: what is left of the gap
      * makes this clock run ahead, where data look older, never behind, where a replica would look fresher than it is.
      */
-    Clock(LongSupplier wall, LongSupplier steady) {
-        this.steady = steady;
-        long closest = Long.MAX_VALUE;
-        long best = 0;
-        for (int i = 0; i < TRIES; i++) {
-            long before = steady.getAsLong();
-            long at = wall.getAsLong();
-            long gap = steady.getAsLong() - before;
-            best = gap < closest ? at - before : best;
-            closest = Math.min(closest, gap);
+    Clock(LongSupplier wall, LongSupplier monotonic) {
+        this.monotonic = monotonic;
+        long smallestGap = Long.MAX_VALUE;
+        long bestOffset = 0;
+        for (int i = 0; i < ANCHOR_ATTEMPTS; i++) {
+            long before = monotonic.getAsLong();
+            long wallTime = wall.getAsLong();
+            long gap = monotonic.getAsLong() - before;
+            bestOffset = gap < smallestGap ? wallTime - before : bestOffset;
+            smallestGap = Math.min(smallestGap, gap);
         }
-        offset = best;
+        offset = bestOffset;
     }
 
     private static long wall() {
@@ -44,12 +44,12 @@
     }
 
     /** Nanoseconds in whole milliseconds, rounded up so that a wait told in them is never shorter. */
-    public static long millisUp(long ns) {
+    public static long ceilMillis(long ns) {
         return (ns + MS - 1) / MS;
     }
 
     /** Unix time in nanoseconds. */
     public long now() {
-        return steady.getAsLong() + offset;
+        return monotonic.getAsLong() + offset;
     }
 }
--- a/pooler/src/main/java/holdmux/core/Counters.java
+++ b/pooler/src/main/java/holdmux/core/Counters.java
@@ -38,51 +38,51 @@
         }
 
         /** The figure for requests that ended for this reason. */
-        public static Counter ended(EndReason reason) {
+        public static Counter forEndReason(EndReason reason) {
             return valueOf("ENDED_" + reason.name());
         }
 
         /** The figure for sends that were withheld for this reason; there is none for those that were allowed. */
-        public static Counter withheld(Permission denied) {
+        public static Counter forWithheldSend(Permission denied) {
             return valueOf("WITHHELD_" + denied.name());
         }
     }
 
-    private final Map<Counter, LongAdder> figures = new EnumMap<>(Counter.class);
+    private final Map<Counter, LongAdder> counts = new EnumMap<>(Counter.class);
     /** Copied at each change, which come at the start alone. */
-    private volatile Map<String, Supplier<String>> standing = Map.of();
+    private volatile Map<String, Supplier<String>> computedStats = Map.of();
 
     public Counters() {
         for (Counter counter : Counter.values()) {
-            figures.put(counter, new LongAdder());
+            counts.put(counter, new LongAdder());
         }
-        show("log_lines_dropped", () -> Long.toString(Log.dropped()));
+        addStat("log_lines_dropped", () -> Long.toString(Log.dropped()));
     }
 
     public void count(Counter counter) {
-        figures.get(counter).increment();
+        counts.get(counter).increment();
     }
 
-    public void add(Counter counter, long more) {
-        figures.get(counter).add(more);
+    public void add(Counter counter, long delta) {
+        counts.get(counter).add(delta);
     }
 
     public long get(Counter counter) {
-        return figures.get(counter).sum();
+        return counts.get(counter).sum();
     }
 
     /** Adds a figure that is asked for whenever the others are told. */
-    public synchronized void show(String name, Supplier<String> value) {
-        Map<String, Supplier<String>> more = new LinkedHashMap<>(standing);
-        more.put(name, value);
-        standing = more;
+    public synchronized void addStat(String name, Supplier<String> value) {
+        Map<String, Supplier<String>> extended = new LinkedHashMap<>(computedStats);
+        extended.put(name, value);
+        computedStats = extended;
     }
 
     /** All figures by name, as they stand now. */
-    public Map<String, String> all() {
+    public Map<String, String> snapshot() {
         Map<String, String> all = new LinkedHashMap<>();
-        figures.forEach((counter, figure) -> all.put(counter.toString(), Long.toString(figure.sum())));
-        standing.forEach((name, value) -> all.put(name, value.get()));
+        counts.forEach((counter, figure) -> all.put(counter.toString(), Long.toString(figure.sum())));
+        computedStats.forEach((name, value) -> all.put(name, value.get()));
         return all;
     }
 
@@ -90,7 +90,7 @@
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder();
-        all().forEach((name, value) -> line.append(line.isEmpty() ? "" : " ").append(name).append('=').append(value));
+        snapshot().forEach((name, value) -> line.append(line.isEmpty() ? "" : " ").append(name).append('=').append(value));
         return line.toString();
     }
 }
--- a/pooler/src/main/java/holdmux/core/Deadlines.java
+++ b/pooler/src/main/java/holdmux/core/Deadlines.java
@@ -10,32 +10,32 @@
  */
 public final class Deadlines {
     /** One deadline; the number tells apart those of the same time. */
-    public record Deadline(long at, long number) implements Comparable<Deadline> {
+    public record Deadline(long at, long sequence) implements Comparable<Deadline> {
         @Override
         public int compareTo(Deadline other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final Clock clock;
     private final TreeMap<Deadline, Runnable> pending = new TreeMap<>();
-    private long number;
+    private long nextSequence;
 
     public Deadlines(Clock clock) {
         this.clock = clock;
     }
 
-    public synchronized Deadline at(long at, Runnable due) {
-        Deadline deadline = new Deadline(at, number++);
-        pending.put(deadline, due);
+    public synchronized Deadline at(long at, Runnable task) {
+        Deadline deadline = new Deadline(at, nextSequence++);
+        pending.put(deadline, task);
         if (pending.firstKey() == deadline) {
             notifyAll();
         }
         return deadline;
     }
 
-    public Deadline after(long afterNs, Runnable due) {
-        return at(clock.now() + afterNs, due);
+    public Deadline after(long delayNs, Runnable task) {
+        return at(clock.now() + delayNs, task);
     }
 
     /** The time that deadlines are told in. */
@@ -55,9 +55,9 @@
     }
 
     /** Whatever one throws, an Error too, those behind it are run. */
-    static void runOne(Runnable due) {
+    static void runOne(Runnable task) {
         try {
-            due.run();
+            task.run();
         } catch (Throwable e) {
             Log.error("a deadline failed", e);
         }
@@ -65,12 +65,12 @@
 
     private synchronized List<Runnable> awaitDue() {
         try {
-            long left = 1;
-            while (left > 0) {
-                left = pending.isEmpty() ? Long.MAX_VALUE : pending.firstKey().at() - clock.now();
-                if (left > 0) {
+            long remaining = 1;
+            while (remaining > 0) {
+                remaining = pending.isEmpty() ? Long.MAX_VALUE : pending.firstKey().at() - clock.now();
+                if (remaining > 0) {
                     // up to the next whole millisecond, the finest that wait() knows
-                    wait(left == Long.MAX_VALUE ? 0 : left / Clock.MS + 1);
+                    wait(remaining == Long.MAX_VALUE ? 0 : remaining / Clock.MS + 1);
                 }
             }
         } catch (InterruptedException e) {
--- a/pooler/src/main/java/holdmux/core/Part.java
+++ b/pooler/src/main/java/holdmux/core/Extension.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** A further protocol or duty that a process is started with, beside PostgreSQL's. */
-public interface Part {
+public interface Extension {
     /** The kinds of server that {@link #upstream} reaches; none where the part is a front alone. */
     Set<String> kinds();
 
@@ -15,5 +15,5 @@
     Front front(Services services) throws IOException;
 
     /** Called once, when all is wired and before anything listens; may wait a little for what must come first. */
-    default void begin(Steering steering) throws IOException, InterruptedException {}
+    default void start(PolicyControl control) throws IOException, InterruptedException {}
 }
--- a/pooler/src/main/java/holdmux/core/Front.java
+++ b/pooler/src/main/java/holdmux/core/Front.java
@@ -11,10 +11,10 @@
     boolean isServing();
 
     /** Sends clients away, each as soon as nothing is owed to it, or takes them in again. */
-    void sendAway(boolean yes);
+    void setEvacuating(boolean evacuating);
 
     /** The program ends after this: from now on nothing is taken that may need longer. */
-    void endAfter(long afterNs);
+    void announceShutdown(long delayNs);
 
     /** Another process of this pooler takes the clients: each is sent there behind its next answer. */
     void handOver();
--- a/pooler/src/main/java/holdmux/core/Fronts.java
+++ b/pooler/src/main/java/holdmux/core/Fronts.java
@@ -13,10 +13,10 @@
     }
 
     /** A front and those of the parts that have one. */
-    public static Fronts of(Front first, List<Part> parts, Services services) throws IOException {
+    public static Fronts of(Front first, List<Extension> extensions, Services services) throws IOException {
         List<Front> all = new ArrayList<>(List.of(first));
-        for (Part part : parts) {
-            Front front = part.front(services);
+        for (Extension extension : extensions) {
+            Front front = extension.front(services);
             if (front != null) {
                 all.add(front);
             }
@@ -37,13 +37,13 @@
     }
 
     @Override
-    public void sendAway(boolean yes) {
-        all.forEach(front -> front.sendAway(yes));
+    public void setEvacuating(boolean evacuating) {
+        all.forEach(front -> front.setEvacuating(evacuating));
     }
 
     @Override
-    public void endAfter(long afterNs) {
-        all.forEach(front -> front.endAfter(afterNs));
+    public void announceShutdown(long delayNs) {
+        all.forEach(front -> front.announceShutdown(delayNs));
     }
 
     @Override
--- a/pooler/src/main/java/holdmux/core/Log.java
+++ b/pooler/src/main/java/holdmux/core/Log.java
@@ -10,34 +10,34 @@
  */
 public final class Log {
     /** Lines that may wait to be written. */
-    private static final int MOST_WAITING = 1_024;
-    private static final long FLUSH_MS = 500, LOOK_MS = 5;
+    private static final int MAX_QUEUED_LINES = 1_024;
+    private static final long FLUSH_TIMEOUT_MS = 500, FLUSH_POLL_MS = 5;
 
-    private static final BlockingQueue<String> WAITING = new ArrayBlockingQueue<>(MOST_WAITING);
+    private static final BlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     /** Lines taken from the queue whose writing has not ended, and lines dropped so far. */
     private static final AtomicLong UNWRITTEN = new AtomicLong(), DROPPED = new AtomicLong();
 
     static {
-        Thread writer = new Thread(null, Log::write, "log", 128 * 1024);
+        Thread writer = new Thread(null, Log::writeLoop, "log", 128 * 1024);
         writer.setDaemon(true);
         writer.start();
     }
 
     private Log() {}
 
-    public static void info(String words) {
-        put("info " + words);
+    public static void info(String message) {
+        enqueue("info " + message);
     }
 
-    public static void warn(String words) {
-        put("warn " + words);
+    public static void warn(String message) {
+        enqueue("warn " + message);
     }
 
     /** A fault with where it was thrown. */
-    public static void error(String words, Throwable cause) {
+    public static void error(String message, Throwable cause) {
         try {
             StackTraceElement[] trace = cause.getStackTrace();
-            put("error " + words + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+            enqueue("error " + message + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
         } catch (OutOfMemoryError e) {
             DROPPED.incrementAndGet(); // whoever logs a fault goes on; there is no room for its line
         }
@@ -50,28 +50,28 @@
 
     /** Waits until all lines so far are written, for a short while: before the process ends. */
     public static void flush() {
-        long by = System.nanoTime() + FLUSH_MS * Clock.MS;
+        long deadline = System.nanoTime() + FLUSH_TIMEOUT_MS * Clock.MS;
         try {
-            while (UNWRITTEN.get() > 0 && System.nanoTime() < by) {
-                Thread.sleep(LOOK_MS);
+            while (UNWRITTEN.get() > 0 && System.nanoTime() < deadline) {
+                Thread.sleep(FLUSH_POLL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void put(String line) {
+    private static void enqueue(String line) {
         UNWRITTEN.incrementAndGet();
-        if (!WAITING.offer(line)) {
+        if (!QUEUE.offer(line)) {
             UNWRITTEN.decrementAndGet();
             DROPPED.incrementAndGet();
         }
     }
 
-    private static void write() {
+    private static void writeLoop() {
         while (true) {
             try {
-                System.err.println(WAITING.take());
+                System.err.println(QUEUE.take());
                 UNWRITTEN.decrementAndGet();
             } catch (InterruptedException | RuntimeException | Error e) {
                 DROPPED.incrementAndGet(); // a line is lost, the thread goes on
--- a/pooler/src/main/java/holdmux/core/Shared.java
+++ b/pooler/src/main/java/holdmux/core/OtherProcess.java
@@ -4,18 +4,18 @@
  * What the other process of this pooler holds, while two overlap, of that which both may hold only together; nothing
  * while there is no other.
  */
-public final class Shared {
+public final class OtherProcess {
     private volatile boolean present;
     private volatile int clients, servers;
 
-    public void othersHold(int clients, int servers) {
+    public void update(int clients, int servers) {
         present = true;
         this.clients = clients;
         this.servers = servers;
     }
 
-    public void ends() {
-        othersHold(0, 0);
+    public void clear() {
+        update(0, 0);
         present = false;
     }
 
--- a/pooler/src/main/java/holdmux/core/Steering.java
+++ b/pooler/src/main/java/holdmux/core/PolicyControl.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 
 /** What a part that holds the whole fleet's policy may do with the pooler that it runs in. */
-public interface Steering {
+public interface PolicyControl {
     /** The pooler's services; its configuration is that of the start. */
     Services services();
 
@@ -18,14 +18,14 @@
      * @param excluded  servers left out beside those that this pooler's operators left out
      * @param evacuated whether this pooler sends its clients away
      */
-    void putInForce(Deployment deployment, InetSocketAddress discovery, Set<String> excluded, boolean evacuated);
+    void applyPolicy(Deployment deployment, InetSocketAddress discovery, Set<String> excluded, boolean evacuated);
 
     /**
      * Asks before each new request whether it may be taken: {@code closed} gives null, or in words why this pooler takes
      * nothing new. Called by many threads, for every request: it must not block.
      */
-    void gate(Supplier<String> closed);
+    void setAdmissionGate(Supplier<String> refusalReason);
 
     /** Adds a row that {@code SHOW STATS} tells beside the counters, computed whenever it is asked for. */
-    void show(String name, Supplier<String> value);
+    void addStat(String name, Supplier<String> value);
 }
--- a/pooler/src/main/java/holdmux/core/Request.java
+++ b/pooler/src/main/java/holdmux/core/Request.java
@@ -8,14 +8,14 @@
 import java.util.Deque;
 import java.util.List;
 
-/** One client request as the core sees it; {@link Balancer#life} is its life. */
+/** One client request as the core sees it; {@link Balancer#execute} is its life. */
 public final class Request {
     /** What the front end read of it; {@code tokenPositionNs} is 0 where the client carries none. */
-    public record Call(String className, Consistency consistency, boolean retry, long remainingNs, long tokenPositionNs, long session,
+    public record Spec(String className, Consistency consistency, boolean isRetry, long remainingNs, long tokenPositionNs, long session,
             int group) {}
 
     /** What the life of the request must do next. */
-    sealed interface Step permits Send, End, Left {}
+    sealed interface Step permits Send, End, ClientGone {}
 
     record Send(Attempt attempt) implements Step {}
 
@@ -23,21 +23,21 @@
     record End(Action answer) implements Step {}
 
     /** The client has gone away: nothing is owed. */
-    record Left() implements Step {}
+    record ClientGone() implements Step {}
 
     final long id;
-    final Call call;
+    final Spec spec;
     private final Deque<Step> steps = new ArrayDeque<>(4);
     /** Attempts by number, and whether nothing more is owed; both under the balancer's lock. */
     final List<Attempt> attempts = new ArrayList<>(2);
-    boolean over;
+    boolean finished;
     /** When its client left, 0 if it did not; how often its class may take effect, once that is known. */
-    long leftAt;
+    long clientLeftAt;
     Effect effect = Effect.IDEMPOTENT;
 
-    Request(long id, Call call) {
+    Request(long id, Spec spec) {
         this.id = id;
-        this.call = call;
+        this.spec = spec;
     }
 
     synchronized void post(Step step) {
--- a/pooler/src/main/java/holdmux/core/Cell.java
+++ b/pooler/src/main/java/holdmux/core/ScalarResult.java
@@ -4,7 +4,7 @@
 import java.io.OutputStream;
 
 /** The value that every front and every upstream knows: one row of one column, as bytes. */
-public interface Cell extends Value {
+public interface ScalarResult extends QueryResult {
     /** For {@link #length}: the column is null. */
     int NULL = -1;
 
--- a/pooler/src/main/java/holdmux/core/SendGate.java
+++ b/pooler/src/main/java/holdmux/core/SendGate.java
@@ -22,15 +22,15 @@
  */
 final class SendGate {
     /** What a client that has gone may still cause: an attempt that began this long after its end breaks the rule. */
-    private static final long GONE_NS = 100 * Clock.MS;
+    private static final long CLIENT_GONE_GRACE_NS = 100 * Clock.MS;
     /** A process may lose its core between the permission and the write for so long; the grace of a drain covers that. */
-    private static final long HELD_UP_NS = 150 * Clock.MS;
+    private static final long MAX_WRITE_DELAY_NS = 150 * Clock.MS;
 
     /** Servers remembered, those that are gone among them; beyond that the gone ones are dropped. */
-    private static final int MOST_SERVERS = 8_192;
+    private static final int MAX_SERVERS = 8_192;
 
     /** What was told of a server, and since when it takes nothing new; {@code stoppedAt} means nothing while it is ready. */
-    private record Told(Availability availability, long stoppedAt) {
+    private record ServerState(Availability availability, long unavailableSince) {
         boolean isReady() {
             return availability == Availability.READY;
         }
@@ -41,42 +41,42 @@
     }
 
     private final Counters counters;
-    private final Fleet fleet;
+    private final ServerRegistry registry;
     /** What was told last of each server, by its number; one that is not here is as good as gone. */
-    private final Map<Long, Told> servers = new HashMap<>();
+    private final Map<Long, ServerState> servers = new HashMap<>();
     /** Whether discovery has still to confirm what was told of any server. */
-    private boolean listAwaited;
+    private boolean listUnconfirmed;
 
-    SendGate(Counters counters, Fleet fleet) {
+    SendGate(Counters counters, ServerRegistry registry) {
         this.counters = counters;
-        this.fleet = fleet;
+        this.registry = registry;
     }
 
     /** Whether nothing may be sent to any server, since discovery has not confirmed the list yet. */
-    void awaitList(boolean yes) {
-        listAwaited = yes;
+    void requireListConfirmation(boolean required) {
+        listUnconfirmed = required;
     }
 
     /** Takes in what was told of servers. */
-    void told(ListChanged change, long now) {
-        Set<Long> named = new HashSet<>();
+    void updateAvailability(ListChanged change, long now) {
+        Set<Long> listed = new HashSet<>();
         for (Listing line : change.lines()) {
-            named.add(line.store());
-            told(line.store(), line.availability(), now);
+            listed.add(line.store());
+            updateAvailability(line.store(), line.availability(), now);
         }
         if (change.mode() == ListMode.FULL || change.mode() == ListMode.CACHED) {
-            Set.copyOf(servers.keySet()).stream().filter(store -> !named.contains(store))
-                    .forEach(store -> told(store, Availability.GONE, now));
+            Set.copyOf(servers.keySet()).stream().filter(serverId -> !listed.contains(serverId))
+                    .forEach(serverId -> updateAvailability(serverId, Availability.GONE, now));
         }
-        if (servers.size() > MOST_SERVERS) {
-            servers.values().removeIf(Told::isGone);
+        if (servers.size() > MAX_SERVERS) {
+            servers.values().removeIf(ServerState::isGone);
         }
     }
 
-    private void told(long store, Availability availability, long now) {
-        Told before = servers.get(store);
-        boolean stoppedBefore = before != null && !before.isReady();
-        servers.put(store, new Told(availability, stoppedBefore ? before.stoppedAt() : now));
+    private void updateAvailability(long serverId, Availability availability, long now) {
+        ServerState previous = servers.get(serverId);
+        boolean wasUnavailable = previous != null && !previous.isReady();
+        servers.put(serverId, new ServerState(availability, wasUnavailable ? previous.unavailableSince() : now));
     }
 
     /**
@@ -85,42 +85,42 @@
      * @param byModule what the decision module says
      * @param goneIsAdvice whether a removal without a drain binds nobody here, see the settings
      */
-    boolean permits(Request request, Attempt attempt, Permission byModule, boolean goneIsAdvice, long now) {
-        Permission permission = byModule;
-        if (permission == Permission.ALLOWED && request.over) {
+    boolean permits(Request request, Attempt attempt, Permission modulePermission, boolean goneIsAdvice, long now) {
+        Permission permission = modulePermission;
+        if (permission == Permission.ALLOWED && request.finished) {
             permission = Permission.REQUEST_OVER;
-        } else if (permission == Permission.ALLOWED && now >= attempt.startedAt + attempt.limitNs) {
+        } else if (permission == Permission.ALLOWED && now >= attempt.startedAt + attempt.timeoutNs) {
             permission = Permission.TIME_OVER;
-        } else if (permission == Permission.ALLOWED && listAwaited) {
+        } else if (permission == Permission.ALLOWED && listUnconfirmed) {
             permission = Permission.LIST_UNCONFIRMED;
         } else if (permission == Permission.ALLOWED) {
-            permission = byList(attempt.store, goneIsAdvice);
+            permission = listPermission(attempt.serverId, goneIsAdvice);
             if (permission != Permission.ALLOWED) {
                 counters.count(Counter.GATE_DISAGREEMENTS);
-                Log.warn("the decision module would send to " + fleet.name(attempt.store) + ", which takes nothing new: "
+                Log.warn("the decision module would send to " + registry.name(attempt.serverId) + ", which takes nothing new: "
                         + describe(request, attempt, now));
             }
         }
-        return counted(permission, attempt, now);
+        return recordDecision(permission, attempt, now);
     }
 
     /** Whether a probe may be written now. */
     boolean permitsProbe(Attempt probe, boolean goneIsAdvice, long now) {
-        return counted(listAwaited ? Permission.LIST_UNCONFIRMED : byList(probe.store, goneIsAdvice), probe, now);
+        return recordDecision(listUnconfirmed ? Permission.LIST_UNCONFIRMED : listPermission(probe.serverId, goneIsAdvice), probe, now);
     }
 
-    private Permission byList(long store, boolean goneIsAdvice) {
-        Told told = servers.get(store);
-        if (told == null || told.isGone()) {
+    private Permission listPermission(long serverId, boolean goneIsAdvice) {
+        ServerState state = servers.get(serverId);
+        if (state == null || state.isGone()) {
             // where a removal is advice, nobody can reach a server without an address, and that is Fleet's to say
             return goneIsAdvice ? Permission.ALLOWED : Permission.SERVER_GONE;
         }
-        return told.isReady() ? Permission.ALLOWED : Permission.SERVER_DRAINING;
+        return state.isReady() ? Permission.ALLOWED : Permission.SERVER_DRAINING;
     }
 
-    private boolean counted(Permission permission, Attempt attempt, long now) {
+    private boolean recordDecision(Permission permission, Attempt attempt, long now) {
         if (permission != Permission.ALLOWED) {
-            counters.count(Counter.withheld(permission));
+            counters.count(Counter.forWithheldSend(permission));
             return false;
         }
         attempt.permittedAt = now;
@@ -128,45 +128,45 @@
     }
 
     /** Checks an attempt whose last byte has gone out against the rules. */
-    void written(Request request, Attempt attempt, boolean goneIsAdvice, long graceNs, long now) {
+    void checkWritten(Request request, Attempt attempt, boolean goneIsAdvice, long graceNs, long now) {
         if (attempt.permittedAt == 0) {
-            violated(Counter.VIOLATIONS_UNPERMITTED, request, attempt, now);
+            reportViolation(Counter.VIOLATIONS_UNPERMITTED, request, attempt, now);
             return;
         }
-        if (now - attempt.permittedAt > HELD_UP_NS) {
+        if (now - attempt.permittedAt > MAX_WRITE_DELAY_NS) {
             counters.count(Counter.WRITES_HELD_UP);
         }
-        Told told = servers.get(attempt.store);
-        boolean stopped = told != null && byList(attempt.store, goneIsAdvice) != Permission.ALLOWED;
-        if (stopped && attempt.permittedAt > told.stoppedAt() + graceNs) {
-            violated(Counter.VIOLATIONS_DRAIN, request, attempt, now);
+        ServerState state = servers.get(attempt.serverId);
+        boolean unavailable = state != null && listPermission(attempt.serverId, goneIsAdvice) != Permission.ALLOWED;
+        if (unavailable && attempt.permittedAt > state.unavailableSince() + graceNs) {
+            reportViolation(Counter.VIOLATIONS_DRAIN, request, attempt, now);
         }
-        if (request.leftAt > 0 && attempt.permittedAt > request.leftAt + GONE_NS) {
-            violated(Counter.VIOLATIONS_CLIENT_GONE, request, attempt, now);
+        if (request.clientLeftAt > 0 && attempt.permittedAt > request.clientLeftAt + CLIENT_GONE_GRACE_NS) {
+            reportViolation(Counter.VIOLATIONS_CLIENT_GONE, request, attempt, now);
         }
         boolean mayHaveRun = request.attempts.stream().anyMatch(other -> other != attempt && other.mayHaveRun());
         if (mayHaveRun && request.effect == Effect.AT_MOST_ONCE) {
-            violated(Counter.VIOLATIONS_REPEAT, request, attempt, now);
+            reportViolation(Counter.VIOLATIONS_REPEAT, request, attempt, now);
         }
     }
 
     /** A request's life is over, and its client was there and has no answer. */
-    void unanswered(Request request) {
+    void reportUnanswered(Request request) {
         counters.count(Counter.VIOLATIONS_NO_ANSWER);
-        Log.warn("rule broken: request " + request.id + " of class " + request.call.className() + " ended without an answer");
+        Log.warn("rule broken: request " + request.id + " of class " + request.spec.className() + " ended without an answer");
     }
 
-    private void violated(Counter rule, Request request, Attempt attempt, long now) {
+    private void reportViolation(Counter rule, Request request, Attempt attempt, long now) {
         counters.count(rule);
         Log.warn("rule broken: " + rule + ", " + describe(request, attempt, now));
     }
 
     private String describe(Request request, Attempt attempt, long now) {
-        Told told = servers.get(attempt.store);
-        boolean stopped = told != null && !told.isReady();
-        return "request " + request.id + " of class " + request.call.className() + ", attempt " + attempt.number + " at "
-                + fleet.name(attempt.store) + ", begun " + (now - attempt.startedAt) / Clock.MS + " ms ago, server told "
-                + (told == null ? "nothing of" : told.availability())
-                + (stopped ? " " + (now - told.stoppedAt()) / Clock.MS + " ms ago" : "");
+        ServerState state = servers.get(attempt.serverId);
+        boolean unavailable = state != null && !state.isReady();
+        return "request " + request.id + " of class " + request.spec.className() + ", attempt " + attempt.number + " at "
+                + registry.name(attempt.serverId) + ", begun " + (now - attempt.startedAt) / Clock.MS + " ms ago, server told "
+                + (state == null ? "nothing of" : state.availability())
+                + (unavailable ? " " + (now - state.unavailableSince()) / Clock.MS + " ms ago" : "");
     }
 }
--- a/pooler/src/main/java/holdmux/core/ServerSlots.java
+++ b/pooler/src/main/java/holdmux/core/ServerSlots.java
@@ -2,19 +2,19 @@
 
 /** How many connections to servers this process may hold, of all protocols together. */
 public final class ServerSlots {
-    private final int most;
-    private final Shared shared;
+    private final int max;
+    private final OtherProcess otherProcess;
     private int held;
 
-    public ServerSlots(int most, Shared shared) {
-        this.most = most;
-        this.shared = shared;
+    public ServerSlots(int max, OtherProcess otherProcess) {
+        this.max = max;
+        this.otherProcess = otherProcess;
     }
 
     /** Reserves one; false at the cap, less what the other process of this pooler holds. */
     public boolean reserve() {
         synchronized (this) {
-            if (held < most - shared.servers()) {
+            if (held < max - otherProcess.servers()) {
                 held++;
                 return true;
             }
@@ -22,7 +22,7 @@
         return false;
     }
 
-    public synchronized void unreserve() {
+    public synchronized void release() {
         held--;
     }
 
--- a/pooler/src/main/java/holdmux/core/ServerStatus.java
+++ b/pooler/src/main/java/holdmux/core/ServerStatus.java
@@ -9,24 +9,24 @@
 public final class ServerStatus {
     /** The names: {@code primary} or {@code standby}; Unix milliseconds; the fields of a load report. */
     public static final String ROLE = "replication_role", POSITION = "log_position", REPORT = "pressure";
-    private static final int NO_FIELD = -1;
+    private static final int UNKNOWN_FIELD = -1;
 
     /** How it is to be read: the fields of reports, and where positions in reports count from. */
-    public record Form(List<String> reportFields, long zeroNs) {
-        public static Form of(Deployment deployment) {
-            return new Form(deployment.reportFields(), deployment.settings().zeroNs());
+    public record ReportFormat(List<String> reportFields, long epochNs) {
+        public static ReportFormat of(Deployment deployment) {
+            return new ReportFormat(deployment.reportFields(), deployment.settings().zeroNs());
         }
     }
 
     private final List<String> reportFields;
-    private final long zeroNs;
+    private final long epochNs;
     private Role role = Role.UNKNOWN;
     private long positionNs;
     private float[] report = Reply.NO_REPORT;
 
-    public ServerStatus(Form form) {
-        reportFields = form.reportFields();
-        zeroNs = form.zeroNs();
+    public ServerStatus(ReportFormat format) {
+        reportFields = format.reportFields();
+        epochNs = format.epochNs();
     }
 
     /** Takes in one value; a name that is not known tells nothing, nor does a value that cannot be read. */
@@ -46,7 +46,7 @@
     }
 
     /** An outcome with what was told beside it. */
-    public Reply reply(Outcome outcome) {
+    public Reply toReply(Outcome outcome) {
         return new Reply(outcome, role, positionNs, report);
     }
 
@@ -65,14 +65,14 @@
         int found = 0;
         for (String pair : value.split(",")) {
             int equals = pair.indexOf('=');
-            int field = equals < 0 ? NO_FIELD : field(pair.substring(0, equals).strip());
+            int field = equals < 0 ? UNKNOWN_FIELD : field(pair.substring(0, equals).strip());
             if (field >= 0) {
                 try {
                     double figure = Double.parseDouble(pair.substring(equals + 1));
                     if (!Double.isFinite(figure) || figure < 0) {
                         return Reply.NO_REPORT;
                     }
-                    values[field] = (float) (reportFields.get(field).equals("x0") ? figure - zeroNs / 1e9 : figure);
+                    values[field] = (float) (reportFields.get(field).equals("x0") ? figure - epochNs / 1e9 : figure);
                     found++;
                 } catch (NumberFormatException e) {
                     return Reply.NO_REPORT;
--- a/pooler/src/main/java/holdmux/core/Services.java
+++ b/pooler/src/main/java/holdmux/core/Services.java
@@ -4,15 +4,15 @@
 import java.util.function.Supplier;
 
 /** What one process has of each kind, for the fronts and upstreams that share it. */
-public record Services(Config config, Balancer balancer, Admission admission, Fleet fleet, Clock clock,
-        Deadlines deadlines, Counters counters, Workers workers, Shared shared, ServerSlots slots) {
-    /** See {@link Steering#gate}. */
-    public void gate(Supplier<String> closed) {
-        admission.gate(closed);
+public record Services(Config config, Balancer balancer, Admission admission, ServerRegistry registry, Clock clock,
+        Deadlines deadlines, Counters counters, Workers workers, OtherProcess otherProcess, ServerSlots slots) {
+    /** See {@link PolicyControl#setAdmissionGate}. */
+    public void setAdmissionGate(Supplier<String> refusalReason) {
+        admission.setAdmissionGate(refusalReason);
     }
 
-    /** See {@link Steering#show}. */
-    public void show(String name, Supplier<String> value) {
-        counters.show(name, value);
+    /** See {@link PolicyControl#addStat}. */
+    public void addStat(String name, Supplier<String> value) {
+        counters.addStat(name, value);
     }
 }
--- a/pooler/src/main/java/holdmux/core/Upstreams.java
+++ b/pooler/src/main/java/holdmux/core/Upstreams.java
@@ -6,14 +6,14 @@
 
 /** Which protocol each server speaks, by the kind that discovery's entry names. */
 public final class Upstreams {
-    private final Fleet fleet;
-    private final Upstream usual;
+    private final ServerRegistry registry;
+    private final Upstream defaultUpstream;
     private final Map<String, Upstream> byKind = new HashMap<>();
 
     /** {@code usual} serves every kind that is not named later. */
-    public Upstreams(Fleet fleet, Upstream usual) {
-        this.fleet = fleet;
-        this.usual = usual;
+    public Upstreams(ServerRegistry registry, Upstream defaultUpstream) {
+        this.registry = registry;
+        this.defaultUpstream = defaultUpstream;
     }
 
     /** Servers of these kinds are reached by this upstream; before the first list. */
@@ -21,7 +21,7 @@
         kinds.forEach(kind -> byKind.put(kind, upstream));
     }
 
-    public Upstream of(long store) {
-        return byKind.isEmpty() ? usual : byKind.getOrDefault(fleet.kind(store), usual);
+    public Upstream forServer(long serverId) {
+        return byKind.isEmpty() ? defaultUpstream : byKind.getOrDefault(registry.kind(serverId), defaultUpstream);
     }
 }
--- a/pooler/src/main/java/holdmux/core/Workers.java
+++ b/pooler/src/main/java/holdmux/core/Workers.java
@@ -12,39 +12,39 @@
     /** The deepest stack is a statement's parse or the module's turn: a few dozen frames. */
     private static final long STACK_BYTES = 256 * 1024;
     /** An idle thread is kept through the lulls of a wave of requests. */
-    private static final long KEEP_S = 10;
+    private static final long KEEP_ALIVE_S = 10;
 
     /** Between a lasting thread's fault and its next begin: no spin where the cause stays. */
-    private static final long RESTART_MS = 100;
+    private static final long RESTART_DELAY_MS = 100;
 
     private final ThreadPoolExecutor pool;
 
-    public Workers(int most) {
-        pool = new ThreadPoolExecutor(0, most, KEEP_S, TimeUnit.SECONDS, new SynchronousQueue<>(),
-                work -> thread("worker", work));
+    public Workers(int maxThreads) {
+        pool = new ThreadPoolExecutor(0, maxThreads, KEEP_ALIVE_S, TimeUnit.SECONDS, new SynchronousQueue<>(),
+                work -> newThread("worker", work));
     }
 
     /** A platform thread with a small stack that does not keep the program alive. */
-    public static Thread thread(String name, Runnable work) {
+    public static Thread newThread(String name, Runnable work) {
         Thread thread = new Thread(null, work, name, STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
     /**
-     * A thread like {@link #thread} for work that goes on as long as the program: if it throws, an Error too, it is begun
+     * A thread like {@link #newThread} for work that goes on as long as the program: if it throws, an Error too, it is begun
      * again after a short pause, with a line in the log and a counter.
      */
-    public static Thread lasting(String name, Counters counters, Runnable work) {
-        return thread(name, () -> {
-            while (!ended(name, counters, work)) {
+    public static Thread restartingThread(String name, Counters counters, Runnable work) {
+        return newThread(name, () -> {
+            while (!runOnce(name, counters, work)) {
                 pause();
             }
         });
     }
 
     /** Whether the work came to an end of its own. */
-    private static boolean ended(String name, Counters counters, Runnable work) {
+    private static boolean runOnce(String name, Counters counters, Runnable work) {
         try {
             work.run();
             return true;
@@ -57,7 +57,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(RESTART_MS);
+            Thread.sleep(RESTART_DELAY_MS);
         } catch (InterruptedException e) {
             // nothing interrupts these threads on purpose; the work begins again all the same
         }
--- a/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
+++ b/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
@@ -15,86 +15,86 @@
     private static final long MS = 1_000_000L;
 
     /** Held requests are looked at again after this part of their wait so far; answers wake them too. */
-    private static final long LOOK_AGAIN = 4;
+    private static final long RECHECK_DIVISOR = 4;
     /** How long a reported queue is held to be true, in tightest aims; it drains in a few service times. */
-    private static final double QUEUE_AIMS = 5.0 / 3;
+    private static final double QUEUE_DECAY_TARGETS = 5.0 / 3;
     /** Probes for each request that comes in: their price stays below what stale reports cost. */
     private static final double PROBES_PER_REQUEST = 0.12;
     /** Probes saved up at most, so that no burst follows a quiet spell; half is kept for what is in doubt. */
     private static final double PROBE_BURST = 16;
     /** The shortest time between probes of one store, twice that in routine: as often as reports refresh. */
-    private static final long PROBE_GAP_NS = 100 * MS;
+    private static final long MIN_PROBE_INTERVAL_NS = 100 * MS;
     /** How fast the averages of a store follow: about ten answers. */
-    private static final double FOLLOW = 0.1;
+    private static final double EWMA_ALPHA = 0.1;
     /** Answers that the first guess of a class's time counts for: one long answer must not replace it. */
-    private static final int GUESS_WEIGHT = 5;
+    private static final int INITIAL_ESTIMATE_WEIGHT = 5;
     /** Part of its aim that a class needs at most: beyond it none would be sent, and nothing learned. */
-    private static final double BASE_MOST = 0.5;
+    private static final double MAX_BASE_SHARE = 0.5;
     /** Part of its usual load beyond which a store has no room left. */
-    private static final double ROOM = 1.5;
+    private static final double MAX_LOAD_FACTOR = 1.5;
     /** Work at once that says nothing of a store's load yet: any store has that many cores. */
-    private static final double FREE_SLOTS = 2;
+    private static final double UNLOADED_CONCURRENCY = 2;
     /** Part of its cores in use from which a store has no room: the rest is noise of the report. */
-    private static final double UTIL_FULL = 0.9;
+    private static final double FULL_UTILIZATION = 0.9;
     /** Cores that a store is taken to have when a reported queue is turned into a wait: a common size. */
-    private static final double CORES = 4;
+    private static final double ASSUMED_CORES = 4;
     /** A store with work out is silent after this many of its usual gaps between answers, but never sooner
      * than this many tightest aims, the length of an ordinary pause. */
-    private static final double SILENT_GAPS = 12, SILENT_AIMS = 4.0 / 3;
+    private static final double SILENCE_ANSWER_GAPS = 12, MIN_SILENCE_TARGETS = 4.0 / 3;
     /** First rest of an ill store, in tightest aims; each further one is twice as long, up to the longest. */
-    private static final double REST_AIMS = 4.0 / 3;
-    private static final long REST_LONGEST_NS = 4_000 * MS;
+    private static final double FIRST_BACKOFF_TARGETS = 4.0 / 3;
+    private static final long MAX_BACKOFF_NS = 4_000 * MS;
     /** No process starts anew within this: what is back sooner had lost connections, but no warmth. */
-    private static final long RESTART_NS = 1_000 * MS;
+    private static final long MIN_RESTART_NS = 1_000 * MS;
     /** Broken connections in a row that make it ill: spoilt answers, one in 30 on bad days, seldom do. */
-    private static final int BREAKS = 3;
+    private static final int MAX_CONSECUTIVE_RESETS = 3;
     /** Weight of a store that is ill, where most of its group is, or that fails all: a trial now and then. */
-    private static final double ILL_WEIGHT = 0.1;
+    private static final double UNHEALTHY_WEIGHT = 0.1;
     /** Replicas asked for one read: reports differ in age, and most that seem far enough are. */
-    private static final int MOST_ASKED = 2;
+    private static final int MAX_POSITION_PROBES = 2;
     /** The first trial of a lagging replica after a miss; more lag waits longer. */
-    private static final long TRIAL_NS = 40 * MS;
+    private static final long MIN_TRIAL_DELAY_NS = 40 * MS;
     /** A safe read's attempt is timed out after this many expected times, or this part of the time left. */
-    private static final double PATIENCE = 10, USEFUL_PART = 0.75;
+    private static final double ATTEMPT_TIMEOUT_FACTOR = 10, ATTEMPT_TIMEOUT_SHARE = 0.75;
     /** Part of the time left that an answer may be expected to take: answers scatter about the mean. */
-    private static final double FIT_IN = 0.4;
+    private static final double MAX_EXPECTED_SHARE = 0.4;
     /** Part of the cold budget of the rules that all fronts together plan to use, steady and in bursts. */
-    private static final double COLD_STEADY = 0.8, COLD_BURST = 0.25;
+    private static final double COLD_STEADY_SHARE = 0.8, COLD_BURST_SHARE = 0.25;
     /** Sessions remembered in a group; the oldest is cleared past the floor beyond that. */
-    private static final int SESSIONS = 20_000;
+    private static final int MAX_SESSIONS = 20_000;
     /** What no store has been given is not held beyond this part of its time: by measure a tenth, time for a
      * probe's word; longer only crowds. What is worth more late than this is held on: it has the chance. */
-    private static final double HOLD_PART = 0.1, LATE_ENOUGH = 0.3;
+    private static final double MAX_PENDING_SHARE = 0.1, MIN_LATE_WORTH = 0.3;
     /** What an answer tells counts as known 100 ms after it was written, read or not; less a send's way. */
-    private static final long KNOWN_NS = 75 * MS;
+    private static final long ANSWER_KNOWN_NS = 75 * MS;
     /** Kept clear of the end of a dedup window: the way to the store and its clock take time. */
-    private static final long WINDOW_MARGIN_NS = 50 * MS;
+    private static final long DEDUP_MARGIN_NS = 50 * MS;
     /** A list call that failed is made again after this, and up to as much again by chance. */
-    private static final long ASK_AGAIN_NS = 1_000 * MS;
+    private static final long LIST_RETRY_NS = 1_000 * MS;
 
     /** Spans over which the work in hand is averaged, about that of the cold rule, and for which the busiest
      * spell is remembered, some of the longest warm-ups. */
-    private static final double CARRY_NS = 2_000.0 * MS, PEAK_NS = 60_000.0 * MS;
+    private static final double CONCURRENCY_AVERAGE_NS = 2_000.0 * MS, CONCURRENCY_PEAK_NS = 60_000.0 * MS;
 
-    private static final int TICK = 1, ASK = 2;
+    private static final int SWEEP_TIMER = 1, SUBSCRIBE_TIMER = 2;
 
     private enum Verdict { NONE, ANY, ALL }
 
     /** A session of a group: its token (0 is none), its replica, writes that are out and since when. */
     private static final class Session {
-        long token, writing, writingSince;
+        long token, writesInFlight, writesInFlightSince;
         Store replica;
     }
 
     private static final class Group {
         final List<Store> members = new ArrayList<>();
-        final List<Open> held = new ArrayList<>();
+        final List<OpenRequest> pending = new ArrayList<>();
         final LinkedHashMap<Long, Session> sessions = new LinkedHashMap<>(16, 0.75f, true);
         /** The latest token cleared here. */
         long floor;
         /** Who is believed to lead, and when that was last borne out. */
         Store leader;
-        long leaderAt;
+        long leaderConfirmedAt;
     }
 
     /** One store: what the list says, its known position, its lag by estimate, its health, its load. */
@@ -104,153 +104,153 @@
         int zone;
         Availability availability = Availability.READY;
         long startedAt;
-        boolean listedWriter;
+        boolean listedAsWriter;
         /** Proven: all commits up to here are applied. Never falls. */
-        long known;
+        long appliedPosition;
         /** Estimate only: how far behind it seems to be, and when that was last seen. */
-        long lag, lagAt, nextTrial;
+        long lag, lagEstimatedAt, nextTrialAt;
         /** When an answer or a probe last denied that it leads; since when its role is in doubt, 0 if not. */
-        long deniedAt, doubtedAt;
-        int out;
+        long leadershipDeniedAt, roleUncertainSince;
+        int inFlight;
         /** Connections of it that broke since its last answer. */
-        int breaks;
-        double outWork;
+        int consecutiveResets;
+        double inFlightWork;
         /** Health: ill since when, if silent, if its process seemed down or none could connect; its rest. */
-        boolean ill, silent, down, cut;
-        long illAt, rest, unansweredSince, answeredAt;
+        boolean unhealthy, silent, processDown, unreachable;
+        long unhealthySince, backoffNs, unansweredSince, answeredAt;
         /** Whether it has ever answered or was in the first list: others must earn their place by a probe. */
-        boolean proven, listedGone;
+        boolean verified, removedFromList;
         boolean probing;
-        long probedAt, wellAt, queueAt;
+        long probedAt, probeOkAt, reportedAt;
         /** Requests that waited there, of all fronts, by the last report. */
-        double queue;
+        double reportedQueue;
         /** How long answers take lately against the usual of their class, and at what load. */
-        double ratio = 1, load = 1;
+        double latencyRatio = 1, usualInFlight = 1;
         /** Part of its answers of late that were errors. */
-        double errors;
+        double errorRate;
         /** Since when it may be cold, and how much it has been sent since. */
-        double coldLevel;
-        long coldSince, coldAt;
+        double coldBudgetUsed;
+        long coldSince, coldBudgetAt;
 
-        Store(long id, Group group, long rest) {
+        Store(long id, Group group, long backoffNs) {
             this.id = id;
             this.group = group;
-            this.rest = rest;
+            this.backoffNs = backoffNs;
         }
 
-        boolean listed() {
+        boolean isReady() {
             return availability == Availability.READY;
         }
 
         /** When it was last asked for a report or told one. */
-        long seenAt() {
-            return Math.max(probedAt, queueAt);
+        long lastCheckedAt() {
+            return Math.max(probedAt, reportedAt);
         }
 
         /** Part of the group for the verdict and for panic; one that is called gone and is ill is not. */
-        boolean counts() {
-            return listed() && proven && !(listedGone && ill);
+        boolean countsAsMember() {
+            return isReady() && verified && !(removedFromList && unhealthy);
         }
     }
 
-    private static final class Open {
+    private static final class OpenRequest {
         final long id;
         /** What the request came under: these hold until its end, whatever is told meanwhile. */
-        final RequestClass type;
+        final RequestClass requestClass;
         final Limits limits;
-        final Pace pace;
+        final LatencyEstimate latency;
         final Group group;
-        final long session, arrived, deadline, giveUpAt, holdUntil, tokenPosition;
-        final boolean bindsSession;
+        final long session, arrivedAt, deadline, giveUpAt, pendingUntil, tokenPosition;
+        final boolean advancesToken;
         final List<Attempt> attempts = new ArrayList<>(2);
         final BitSet ended = new BitSet(), retracted = new BitSet();
-        int inFlight, misses, asked;
-        boolean done, held, accused, reached;
+        int inFlight, staleReads, positionProbes;
+        boolean done, pending, requestAtFault, reachedStore;
         /** The first that may have run; none but a safe request has two out, so that one was sent first. */
-        Attempt ran;
-        Store avoid, erred;
+        Attempt firstMayHaveRun;
+        Store avoidStore, failedStore;
 
-        Open(Arrived a, Settings settings, Pace pace, Group group, long now) {
-            id = a.id();
-            type = settings.classes().get(a.classIndex());
+        OpenRequest(Arrived arrival, Settings settings, LatencyEstimate latency, Group group, long now) {
+            id = arrival.id();
+            requestClass = settings.classes().get(arrival.classIndex());
             limits = settings.limits();
-            this.pace = pace;
+            this.latency = latency;
             this.group = group;
-            session = a.session();
-            bindsSession = type.consistency() == Consistency.WRITE && settings.remembered() && session != 0;
-            arrived = now;
-            deadline = now + a.remainingNs();
+            session = arrival.session();
+            advancesToken = requestClass.consistency() == Consistency.WRITE && settings.remembered() && session != 0;
+            arrivedAt = now;
+            deadline = now + arrival.remainingNs();
             long slack = settings.stepNs() + MS;
-            long useful = type.lateWorth() > 0 ? deadline : Math.min(deadline, now + type.onTimeNs());
-            giveUpAt = useful - slack;
-            long part = now + (long) (HOLD_PART * a.remainingNs()) - slack;
-            holdUntil = type.lateWorth() > LATE_ENOUGH ? giveUpAt : Math.min(giveUpAt, part);
-            tokenPosition = a.tokenAgeNs() > 0 ? now - a.tokenAgeNs() : 0;
+            long usefulUntil = requestClass.lateWorth() > 0 ? deadline : Math.min(deadline, now + requestClass.onTimeNs());
+            giveUpAt = usefulUntil - slack;
+            long pendingLimit = now + (long) (MAX_PENDING_SHARE * arrival.remainingNs()) - slack;
+            pendingUntil = requestClass.lateWorth() > MIN_LATE_WORTH ? giveUpAt : Math.min(giveUpAt, pendingLimit);
+            tokenPosition = arrival.tokenAgeNs() > 0 ? now - arrival.tokenAgeNs() : 0;
         }
 
-        boolean safe() {
-            return type.effect() == Effect.IDEMPOTENT;
+        boolean isIdempotent() {
+            return requestClass.effect() == Effect.IDEMPOTENT;
         }
     }
 
     /** How long a class takes in quiet times, and from how many answers that is known. */
-    private static final class Pace {
-        double base;
+    private static final class LatencyEstimate {
+        double baseNs;
         int samples;
 
-        Pace(double base, int samples) {
-            this.base = base;
+        LatencyEstimate(double baseNs, int samples) {
+            this.baseNs = baseNs;
             this.samples = samples;
         }
     }
 
-    private record Attempt(Store store, long sentAt, long needed, int outThen, double work, Session owner) {}
+    private record Attempt(Store store, long sentAt, long requiredPosition, int inFlightAtSend, double work, Session session) {}
 
     private Settings settings;
-    private boolean checks, rolesTold;
+    private boolean storesCheckPosition, rolesReported;
     private final SplittableRandom random;
     private final Map<Long, Store> stores = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new LinkedHashMap<>();
-    private final Map<Long, Open> opens = new LinkedHashMap<>();
-    private List<Pace> paces = List.of();
-    private double probeTokens = PROBE_BURST;
+    private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
+    private List<LatencyEstimate> latencyEstimates = List.of();
+    private double probeBudget = PROBE_BURST;
     /** Work in hand at all stores together for this front, averaged; the peak of late for each store. */
-    private double carry, peak;
+    private double averageConcurrency, peakConcurrency;
     /** Stores that the list calls ready. */
-    private int ready;
-    private long carryAt;
+    private int readyStores;
+    private long concurrencyAt;
     /** How old a report is when it arrives, learned from primaries, which stand at the present. */
-    private double reportAge;
+    private double reportAgeNs;
     private long now;
     /** The earliest timer that is set, and when this front last stood still. */
-    private long wakeAt = Long.MAX_VALUE, stalledAt;
+    private long nextTimerAt = Long.MAX_VALUE, stalledAt;
     /** Groups that something happened to in this batch: only their held requests are looked at. */
-    private final Set<Group> touched = new LinkedHashSet<>();
+    private final Set<Group> touchedGroups = new LinkedHashSet<>();
     private Consumer<Action> sink;
     /** Times that follow the settings, since work and aims differ between deployments. */
-    private long tick, silentLeast, restFirst, queueTime;
+    private long minTimerNs, minSilenceNs, firstBackoffNs, queueDecayNs;
 
     public ReadWriteSplitter(Settings settings, long seed) {
         random = new SplittableRandom(seed);
-        adopt(settings, Collections.nCopies(settings.classes().size(), -1));
+        applySettings(settings, Collections.nCopies(settings.classes().size(), -1));
     }
 
     /** Takes up settings; {@code was} tells where each class stood in those before, -1 for a new one. */
-    private void adopt(Settings settings, List<Integer> was) {
+    private void applySettings(Settings settings, List<Integer> previousIndices) {
         this.settings = settings;
-        checks = settings.guards() != Guards.OFF;
-        tick = 2 * settings.stepNs(); // the soonest that a timer is set for, in steps of the wire
-        long aim = settings.classes().stream().mapToLong(RequestClass::onTimeNs).min().orElseThrow();
-        silentLeast = (long) (SILENT_AIMS * aim);
-        restFirst = (long) (REST_AIMS * aim);
-        queueTime = (long) (QUEUE_AIMS * aim);
-        List<Pace> next = new ArrayList<>();
-        for (RequestClass type : settings.classes()) {
-            int before = was.get(next.size());
-            Pace old = before < 0 ? new Pace(type.onTimeNs() / 5.0, 0) : paces.get(before);
-            next.add(new Pace(Math.min(old.base, BASE_MOST * type.onTimeNs()), old.samples));
+        storesCheckPosition = settings.guards() != Guards.OFF;
+        minTimerNs = 2 * settings.stepNs(); // the soonest that a timer is set for, in steps of the wire
+        long shortestTarget = settings.classes().stream().mapToLong(RequestClass::onTimeNs).min().orElseThrow();
+        minSilenceNs = (long) (MIN_SILENCE_TARGETS * shortestTarget);
+        firstBackoffNs = (long) (FIRST_BACKOFF_TARGETS * shortestTarget);
+        queueDecayNs = (long) (QUEUE_DECAY_TARGETS * shortestTarget);
+        List<LatencyEstimate> estimates = new ArrayList<>();
+        for (RequestClass requestClass : settings.classes()) {
+            int previousIndex = previousIndices.get(estimates.size());
+            LatencyEstimate previous = previousIndex < 0 ? new LatencyEstimate(requestClass.onTimeNs() / 5.0, 0) : latencyEstimates.get(previousIndex);
+            estimates.add(new LatencyEstimate(Math.min(previous.baseNs, MAX_BASE_SHARE * requestClass.onTimeNs()), previous.samples));
         }
-        paces = next;
+        latencyEstimates = estimates;
     }
 
     /** Takes all events of one batch, in order, and gives out the actions that answer them. */
@@ -260,159 +260,159 @@
         }
         this.now = now;
         this.sink = sink;
-        boolean due = now >= wakeAt;
+        boolean due = now >= nextTimerAt;
         if (due) {
-            stalledAt = now - wakeAt > 100 * MS ? now : stalledAt; // beyond any batch: it stood still itself
-            wakeAt = Long.MAX_VALUE;
+            stalledAt = now - nextTimerAt > 100 * MS ? now : stalledAt; // beyond any batch: it stood still itself
+            nextTimerAt = Long.MAX_VALUE;
         }
         for (Event event : events) {
             if (event instanceof Arrived e) {
-                arrived(e);
+                onArrived(e);
             } else if (event instanceof Answered e) {
-                answered(e);
+                onAnswered(e);
             } else if (event instanceof Checked e) {
-                checked(e);
-            } else if (event instanceof Wakeup e && e.handle() == ASK) {
+                onChecked(e);
+            } else if (event instanceof Wakeup e && e.handle() == SUBSCRIBE_TIMER) {
                 sink.accept(new Subscribe(true));
-            } else if (event instanceof ClientLeft e && opens.containsKey(e.id())) {
-                close(opens.get(e.id()));
-            } else if (event instanceof GiveUp e && opens.containsKey(e.id())) {
-                finish(opens.get(e.id()), EndReason.PROCESS_ENDS);
+            } else if (event instanceof ClientLeft e && openRequests.containsKey(e.id())) {
+                close(openRequests.get(e.id()));
+            } else if (event instanceof AbortRequest e && openRequests.containsKey(e.id())) {
+                finish(openRequests.get(e.id()), EndReason.PROCESS_ENDS);
             } else if (event instanceof ListChanged e) {
-                listChanged(e);
-            } else if (event instanceof Written e) {
-                written(e);
-            } else if (event instanceof Retuned e) {
-                adopt(e.settings(), e.was());
+                onListChanged(e);
+            } else if (event instanceof LastWrite e) {
+                onLastWrite(e);
+            } else if (event instanceof SettingsChanged e) {
+                applySettings(e.settings(), e.previousIndices());
             }
         }
         if (due) {
             sweep();
         }
-        touched.forEach(this::releaseHeld);
-        touched.clear();
+        touchedGroups.forEach(this::dispatchPending);
+        touchedGroups.clear();
     }
 
     /** Sets a timer unless an earlier one is set; without work there is none. */
-    private void wake(long at) {
-        long soonest = Math.max(at, now + tick);
-        if (soonest < wakeAt) {
-            wakeAt = soonest;
-            sink.accept(new Schedule(wakeAt - now, TICK));
+    private void scheduleSweep(long atNs) {
+        long soonest = Math.max(atNs, now + minTimerNs);
+        if (soonest < nextTimerAt) {
+            nextTimerAt = soonest;
+            sink.accept(new Schedule(nextTimerAt - now, SWEEP_TIMER));
         }
     }
 
     // ---- The ordinary path: token, verdict, floor, session's replica, random pick, primary ----
 
-    private void arrived(Arrived e) {
-        probeTokens = Math.min(PROBE_BURST, probeTokens + PROBES_PER_REQUEST);
+    private void onArrived(Arrived e) {
+        probeBudget = Math.min(PROBE_BURST, probeBudget + PROBES_PER_REQUEST);
         Group group = groups.computeIfAbsent(e.group(), g -> new Group());
-        Open o = new Open(e, settings, paces.get(e.classIndex()), group, now);
-        opens.put(o.id, o);
-        probe(group);
-        touched.add(group);
-        hold(o); // released at the end of the batch, dearest first, so that new work does not jump the queue
-    }
-
-    private void decide(Open o) {
-        Store leader = o.group.leader;
-        Store store = switch (o.type.consistency()) {
-            case WRITE, FRESH -> leader != null && usable(leader, o) ? leader : null;
-            case SESSION -> sessionStore(o);
-            case BOUNDED, ANY -> spreadStore(o);
+        OpenRequest request = new OpenRequest(e, settings, latencyEstimates.get(e.classIndex()), group, now);
+        openRequests.put(request.id, request);
+        probeGroup(group);
+        touchedGroups.add(group);
+        enqueue(request); // released at the end of the batch, dearest first, so that new work does not jump the queue
+    }
+
+    private void dispatch(OpenRequest request) {
+        Store leader = request.group.leader;
+        Store store = switch (request.requestClass.consistency()) {
+            case WRITE, FRESH -> leader != null && canServeInTime(leader, request) ? leader : null;
+            case SESSION -> pickForSessionRead(request);
+            case BOUNDED, ANY -> pickForBoundedRead(request);
         };
-        if (store == null || !send(o, store)) {
-            hold(o);
+        if (store == null || !send(request, store)) {
+            enqueue(request);
         }
     }
 
-    private Store sessionStore(Open o) {
-        Group group = o.group;
-        Session session = group.sessions.get(o.session);
-        long token = token(o, session);
+    private Store pickForSessionRead(OpenRequest request) {
+        Group group = request.group;
+        Session session = group.sessions.get(request.session);
+        long token = sessionToken(request, session);
         Verdict verdict = verdict(group, token);
         if (verdict == Verdict.ALL && session != null && session.token > 0) {
             session.token = 0;
             group.floor = Math.max(group.floor, token);
         }
-        if (verdict != Verdict.NONE || checks) {
+        if (verdict != Verdict.NONE || storesCheckPosition) {
             Store kept = session == null ? null : session.replica;
-            if (kept != null && !kept.ill && fits(kept, o, token) && usable(kept, o)) {
+            if (kept != null && !kept.unhealthy && hasReached(kept, request, token) && canServeInTime(kept, request)) {
                 return kept;
             }
-            Store picked = randomFit(o, s -> fits(s, o, token));
+            Store picked = pickWeighted(request, store -> hasReached(store, request, token));
             if (picked != null) {
-                return remember(group, o.session).replica = picked;
+                return getOrCreateSession(group, request.session).replica = picked;
             }
         }
-        return asks(o, Math.max(token, group.floor)) ? null : lastResort(o);
+        return awaitsPositionProbe(request, Math.max(token, group.floor)) ? null : pickFallback(request);
     }
 
-    private Store spreadStore(Open o) {
-        long needed = needed(o);
-        Store picked = randomFit(o, s -> fits(s, o, needed));
-        return picked != null || asks(o, needed) ? picked : lastResort(o);
+    private Store pickForBoundedRead(OpenRequest request) {
+        long required = requiredPosition(request);
+        Store picked = pickWeighted(request, store -> hasReached(store, request, required));
+        return picked != null || awaitsPositionProbe(request, required) ? picked : pickFallback(request);
     }
 
     /**
      * Whether a replica is asked for its position, which seems far enough but is not known to be: each front
      * hears seldom of each of many replicas, and primaries have no room for all reads. Costs a probe.
      */
-    private boolean asks(Open o, long needed) {
-        if (checks || o.asked >= MOST_ASKED) {
+    private boolean awaitsPositionProbe(OpenRequest request, long required) {
+        if (storesCheckPosition || request.positionProbes >= MAX_POSITION_PROBES) {
             return false;
         }
-        Store leader = o.group.leader;
-        Predicate<Store> hopeful = s -> s != leader && !s.ill && now - s.lag >= needed && s.known < needed;
-        if (o.group.members.stream().anyMatch(s -> s.probing && hopeful.test(s))) {
+        Store leader = request.group.leader;
+        Predicate<Store> candidate = store -> store != leader && !store.unhealthy && now - store.lag >= required && store.appliedPosition < required;
+        if (request.group.members.stream().anyMatch(store -> store.probing && candidate.test(store))) {
             return true;
         }
-        Store s = randomFit(o, m -> hopeful.test(m) && now - m.probedAt >= PROBE_GAP_NS);
-        o.asked += s == null ? 0 : 1;
-        return s != null && inspect(s, true);
+        Store store = pickWeighted(request, m -> candidate.test(m) && now - m.probedAt >= MIN_PROBE_INTERVAL_NS);
+        request.positionProbes += store == null ? 0 : 1;
+        return store != null && probeStore(store, true);
     }
 
     /** What a session must see. The answer of a write that is out may be on its way, and counts so. */
-    private long token(Open o, Session session) {
-        boolean told = session != null && session.writing > 0 && now - session.writingSince > KNOWN_NS;
-        long own = session == null ? 0 : Math.max(session.token, told ? now - KNOWN_NS : 0);
-        return settings.remembered() ? own : o.tokenPosition;
+    private long sessionToken(OpenRequest request, Session session) {
+        boolean mayBeAnswered = session != null && session.writesInFlight > 0 && now - session.writesInFlightSince > ANSWER_KNOWN_NS;
+        long own = session == null ? 0 : Math.max(session.token, mayBeAnswered ? now - ANSWER_KNOWN_NS : 0);
+        return settings.remembered() ? own : request.tokenPosition;
     }
 
     private Verdict verdict(Group group, long token) {
-        List<Store> replicas = group.members.stream().filter(s -> s != group.leader && s.counts()).toList();
-        long reached = replicas.stream().filter(s -> s.known >= token).count();
-        return reached == 0 ? Verdict.NONE : reached == replicas.size() ? Verdict.ALL : Verdict.ANY;
+        List<Store> replicas = group.members.stream().filter(store -> store != group.leader && store.countsAsMember()).toList();
+        long caughtUp = replicas.stream().filter(store -> store.appliedPosition >= token).count();
+        return caughtUp == 0 ? Verdict.NONE : caughtUp == replicas.size() ? Verdict.ALL : Verdict.ANY;
     }
 
     /** The position that a read needs if it is sent now. */
-    private long needed(Open o) {
-        return switch (o.type.consistency()) {
-            case SESSION -> token(o, o.group.sessions.get(o.session));
-            case BOUNDED -> now - o.type.boundNs();
-            case FRESH -> o.arrived;
+    private long requiredPosition(OpenRequest request) {
+        return switch (request.requestClass.consistency()) {
+            case SESSION -> sessionToken(request, request.group.sessions.get(request.session));
+            case BOUNDED -> now - request.requestClass.boundNs();
+            case FRESH -> request.arrivedAt;
             default -> 0;
         };
     }
 
     /** Whether a replica is known to have reached a position or, where stores check, seems to have. */
-    private boolean fits(Store s, Open o, long needed) {
-        boolean pastFloor = o.type.consistency() != Consistency.SESSION || s.known >= o.group.floor;
-        boolean recent = s.known >= needed || checks && now - s.lag >= needed;
-        return s != o.group.leader && s.group == o.group && pastFloor && recent;
+    private boolean hasReached(Store store, OpenRequest request, long required) {
+        boolean reachedFloor = request.requestClass.consistency() != Consistency.SESSION || store.appliedPosition >= request.group.floor;
+        boolean recentEnough = store.appliedPosition >= required || storesCheckPosition && now - store.lag >= required;
+        return store != request.group.leader && store.group == request.group && reachedFloor && recentEnough;
     }
 
     /** At random among those that fit, by weight; who fails fast looks idle, so errors are a burden too. */
-    private Store randomFit(Open o, Predicate<Store> fit) {
+    private Store pickWeighted(OpenRequest request, Predicate<Store> eligible) {
         Store picked = null;
         double total = 0;
-        for (Store s : o.group.members) {
-            if (s != o.avoid && fit.test(s) && usable(s, o)) {
-                double burden = (s.outWork + o.pace.base) * s.ratio / Math.max(ILL_WEIGHT, 1 - s.errors);
-                double weight = (s.ill ? ILL_WEIGHT : 1) * coldPart(s) / (burden * burden * burden);
+        for (Store store : request.group.members) {
+            if (store != request.avoidStore && eligible.test(store) && canServeInTime(store, request)) {
+                double cost = (store.inFlightWork + request.latency.baseNs) * store.latencyRatio / Math.max(UNHEALTHY_WEIGHT, 1 - store.errorRate);
+                double weight = (store.unhealthy ? UNHEALTHY_WEIGHT : 1) * capacityShare(store) / (cost * cost * cost);
                 total += weight;
                 if (random.nextDouble() * total < weight) {
-                    picked = s;
+                    picked = store;
                 }
             }
         }
@@ -420,31 +420,31 @@
     }
 
     /** None fits: the primary if it has room beside its writes, or where stores check a rare trial. */
-    private Store lastResort(Open o) {
-        Store leader = o.group.leader;
-        if (leader != null && hasRoom(leader) && usable(leader, o)) {
+    private Store pickFallback(OpenRequest request) {
+        Store leader = request.group.leader;
+        if (leader != null && hasSpareCapacity(leader) && canServeInTime(leader, request)) {
             return leader;
         }
-        boolean mayTry = checks && o.misses < 2 && (leader == null || !leader.probing);
-        Predicate<Store> due = s -> s != leader && s.nextTrial <= now && usable(s, o);
-        Store best = !mayTry ? null
-                : o.group.members.stream().filter(due).min(Comparator.comparingLong(s -> s.lag)).orElse(null);
-        if (best != null) {
-            restTrials(best);
+        boolean mayTryReplica = storesCheckPosition && request.staleReads < 2 && (leader == null || !leader.probing);
+        Predicate<Store> eligible = store -> store != leader && store.nextTrialAt <= now && canServeInTime(store, request);
+        Store leastLagging = !mayTryReplica ? null
+                : request.group.members.stream().filter(eligible).min(Comparator.comparingLong(store -> store.lag)).orElse(null);
+        if (leastLagging != null) {
+            postponeTrial(leastLagging);
         }
-        return best;
+        return leastLagging;
     }
 
     /** Whether a store has room beside what it must do anyway; asked first where its report is old. Guards
      * against all fronts piling their reads on one primary; costs a probe's time where replicas lag. */
-    private boolean hasRoom(Store s) {
-        boolean asked = now - s.queueAt > queueTime && settings.queueField() >= 0 && inspect(s, false);
-        return !asked && queue(s) < 1 && s.out < ROOM * Math.max(FREE_SLOTS, s.load);
+    private boolean hasSpareCapacity(Store store) {
+        boolean awaitsReport = now - store.reportedAt > queueDecayNs && settings.queueField() >= 0 && probeStore(store, false);
+        return !awaitsReport && currentQueue(store) < 1 && store.inFlight < MAX_LOAD_FACTOR * Math.max(UNLOADED_CONCURRENCY, store.usualInFlight);
     }
 
-    private Session remember(Group group, long key) {
+    private Session getOrCreateSession(Group group, long key) {
         Session session = group.sessions.computeIfAbsent(key, k -> new Session());
-        if (group.sessions.size() > SESSIONS) {
+        if (group.sessions.size() > MAX_SESSIONS) {
             Iterator<Session> oldest = group.sessions.values().iterator();
             group.floor = Math.max(group.floor, oldest.next().token);
             oldest.remove();
@@ -453,21 +453,21 @@
     }
 
     /** All that a second process of this front must know to serve the sessions' reads. */
-    public List<Written> writes() {
-        List<Written> all = new ArrayList<>();
+    public List<LastWrite> lastWrites() {
+        List<LastWrite> writes = new ArrayList<>();
         groups.forEach((id, g) -> {
-            all.add(new Written(id, 0, g.floor));
-            g.sessions.forEach((key, session) -> all.add(new Written(id, key, session.token)));
+            writes.add(new LastWrite(id, 0, g.floor));
+            g.sessions.forEach((key, session) -> writes.add(new LastWrite(id, key, session.token)));
         });
-        return all;
+        return writes;
     }
 
-    private void written(Written e) {
+    private void onLastWrite(LastWrite e) {
         Group group = groups.computeIfAbsent(e.group(), g -> new Group());
         if (e.session() == 0) {
             group.floor = Math.max(group.floor, e.positionNs());
         } else {
-            Session session = remember(group, e.session());
+            Session session = getOrCreateSession(group, e.session());
             session.token = Math.max(session.token, e.positionNs());
         }
     }
@@ -475,500 +475,500 @@
     // ---- The two gates ----
 
     /** The only way out to a store: checks the rules, then starts an attempt. */
-    private boolean send(Open o, Store s) {
-        boolean alone = o.inFlight == 0 || o.limits.duplicates() && o.safe();
-        if (o.done || !repeatable(o) || !alone || !allowed(o, s) || !coldRoom(s, o.pace.base)) {
+    private boolean send(OpenRequest request, Store store) {
+        boolean mayRunNow = request.inFlight == 0 || request.limits.duplicates() && request.isIdempotent();
+        if (request.done || !canRetry(request) || !mayRunNow || !isAllowed(request, store) || !hasColdBudget(store, request.latency.baseNs)) {
             return false;
         }
-        s.coldLevel += o.pace.base;
-        Session owner = o.bindsSession ? remember(o.group, o.session) : new Session();
-        owner.writingSince = owner.writing++ == 0 ? now : owner.writingSince;
-        Attempt attempt = new Attempt(s, now, needed(o), s.out + 1, o.pace.base, owner);
-        o.attempts.add(attempt);
-        o.inFlight++;
-        s.out++;
-        s.outWork += attempt.work;
-        s.unansweredSince = s.unansweredSince == 0 ? now : s.unansweredSince;
-        s.nextTrial = s.ill ? now + s.rest : s.nextTrial;
-        unhold(o);
-        wake(Math.min(o.giveUpAt, now + silentLeast));
-        sink.accept(new Transmit(o.id, s.id, Math.max(1, limit(o, s))));
+        store.coldBudgetUsed += request.latency.baseNs;
+        Session session = request.advancesToken ? getOrCreateSession(request.group, request.session) : new Session();
+        session.writesInFlightSince = session.writesInFlight++ == 0 ? now : session.writesInFlightSince;
+        Attempt attempt = new Attempt(store, now, requiredPosition(request), store.inFlight + 1, request.latency.baseNs, session);
+        request.attempts.add(attempt);
+        request.inFlight++;
+        store.inFlight++;
+        store.inFlightWork += attempt.work;
+        store.unansweredSince = store.unansweredSince == 0 ? now : store.unansweredSince;
+        store.nextTrialAt = store.unhealthy ? now + store.backoffNs : store.nextTrialAt;
+        dequeue(request);
+        scheduleSweep(Math.min(request.giveUpAt, now + minSilenceNs));
+        sink.accept(new Transmit(request.id, store.id, Math.max(1, attemptTimeout(request, store))));
         return true;
     }
 
     /** Whether the list and the age of its data allow a request to go to a store at this moment. */
-    private Permission permission(Open o, Store s) {
-        boolean fresh = checks || s == o.group.leader && s.doubtedAt == 0 || s.known >= needed(o);
-        boolean inScope = o.ran == null || o.type.effect() != Effect.DEDUPLICATED
-                || o.type.scope() != Scope.ZONE || s.zone == o.ran.store.zone;
-        if (s.group != o.group || s.availability == Availability.GONE) {
+    private Permission permission(OpenRequest request, Store store) {
+        boolean freshEnough = storesCheckPosition || store == request.group.leader && store.roleUncertainSince == 0 || store.appliedPosition >= requiredPosition(request);
+        boolean inScope = request.firstMayHaveRun == null || request.requestClass.effect() != Effect.DEDUPLICATED
+                || request.requestClass.scope() != Scope.ZONE || store.zone == request.firstMayHaveRun.store.zone;
+        if (store.group != request.group || store.availability == Availability.GONE) {
             return Permission.SERVER_GONE;
         }
-        if (!s.listed()) {
+        if (!store.isReady()) {
             return Permission.SERVER_DRAINING;
         }
-        return !fresh ? Permission.DATA_TOO_OLD : inScope ? Permission.ALLOWED : Permission.OUT_OF_SCOPE;
+        return !freshEnough ? Permission.DATA_TOO_OLD : inScope ? Permission.ALLOWED : Permission.OUT_OF_SCOPE;
     }
 
-    private boolean allowed(Open o, Store s) {
-        return permission(o, s) == Permission.ALLOWED;
+    private boolean isAllowed(OpenRequest request, Store store) {
+        return permission(request, store) == Permission.ALLOWED;
     }
 
     /** Asked right before an attempt is written: its connection may have taken long to come up. */
-    public Permission mayWrite(long now, long id, int attempt) {
+    public Permission sendPermission(long now, long id, int attempt) {
         this.now = now;
-        Open o = opens.get(id);
-        if (o == null || o.done) {
+        OpenRequest request = openRequests.get(id);
+        if (request == null || request.done) {
             return Permission.REQUEST_OVER;
         }
-        return mayRunAgain(o) ? permission(o, o.attempts.get(attempt).store) : Permission.NOT_REPEATABLE;
+        return mayRunAgain(request) ? permission(request, request.attempts.get(attempt).store) : Permission.NOT_REPEATABLE;
     }
 
-    private long limit(Open o, Store s) {
-        long left = o.deadline - now;
-        boolean only = !o.safe() || o.attempts.size() >= o.limits.maxAttempts();
-        double patience = Math.max(PATIENCE * expected(s, o), USEFUL_PART * (o.giveUpAt - now));
-        return only ? left : Math.min(left, (long) patience);
+    private long attemptTimeout(OpenRequest request, Store store) {
+        long remainingNs = request.deadline - now;
+        boolean waitsToDeadline = !request.isIdempotent() || request.attempts.size() >= request.limits.maxAttempts();
+        double timeoutNs = Math.max(ATTEMPT_TIMEOUT_FACTOR * expectedLatency(store, request), ATTEMPT_TIMEOUT_SHARE * (request.giveUpAt - now));
+        return waitsToDeadline ? remainingNs : Math.min(remainingNs, (long) timeoutNs);
     }
 
     /** The only final answer of this module: refused where that is true, else failed. */
-    private void finish(Open o, EndReason reason) {
-        if (o.done) {
+    private void finish(OpenRequest request, EndReason reason) {
+        if (request.done) {
             return;
         }
-        boolean mayHaveRun = o.inFlight > 0 || o.ran != null;
-        boolean refusable = o.safe() || !mayHaveRun
-                || o.type.effect() == Effect.DEDUPLICATED && o.type.scope() == Scope.ALL;
+        boolean mayHaveRun = request.inFlight > 0 || request.firstMayHaveRun != null;
+        boolean refusable = request.isIdempotent() || !mayHaveRun
+                || request.requestClass.effect() == Effect.DEDUPLICATED && request.requestClass.scope() == Scope.ALL;
         sink.accept(refusable
-                ? new Decline(o.id, o.limits.retryAfter() ? o.limits.maxRetryAfterNs() : 0, reason)
-                : new RespondError(o.id, reason));
-        close(o);
+                ? new Decline(request.id, request.limits.retryAfter() ? request.limits.maxRetryAfterNs() : 0, reason)
+                : new RespondError(request.id, reason));
+        close(request);
     }
 
-    private void close(Open o) {
-        o.done = true;
-        unhold(o);
-        for (int i = 0; i < o.attempts.size(); i++) {
-            retract(o, i);
+    private void close(OpenRequest request) {
+        request.done = true;
+        dequeue(request);
+        for (int i = 0; i < request.attempts.size(); i++) {
+            retract(request, i);
         }
-        if (o.inFlight == 0) {
-            opens.remove(o.id);
+        if (request.inFlight == 0) {
+            openRequests.remove(request.id);
         }
     }
 
-    private void retract(Open o, int i) {
-        if (!o.ended.get(i) && !o.retracted.get(i) && o.limits.cancel()) {
-            o.retracted.set(i);
-            sink.accept(new Retract(o.id, i));
+    private void retract(OpenRequest request, int attempt) {
+        if (!request.ended.get(attempt) && !request.retracted.get(attempt) && request.limits.cancel()) {
+            request.retracted.set(attempt);
+            sink.accept(new Retract(request.id, attempt));
         }
     }
 
     // ---- Holding, releasing, giving up ----
 
-    private void hold(Open o) {
-        if (!o.held && !o.done) {
-            o.held = true;
-            o.group.held.add(o);
-            wake(lookAgain(o));
+    private void enqueue(OpenRequest request) {
+        if (!request.pending && !request.done) {
+            request.pending = true;
+            request.group.pending.add(request);
+            scheduleSweep(nextRecheckAt(request));
         }
     }
 
-    private long lookAgain(Open o) {
-        long limit = o.reached || now >= o.holdUntil ? o.giveUpAt : o.holdUntil;
-        return Math.min(limit, now + (now - o.arrived) / LOOK_AGAIN);
+    private long nextRecheckAt(OpenRequest request) {
+        long latest = request.reachedStore || now >= request.pendingUntil ? request.giveUpAt : request.pendingUntil;
+        return Math.min(latest, now + (now - request.arrivedAt) / RECHECK_DIVISOR);
     }
 
-    private void unhold(Open o) {
-        o.held = false;
-        o.group.held.remove(o);
+    private void dequeue(OpenRequest request) {
+        request.pending = false;
+        request.group.pending.remove(request);
     }
 
     /** Work for each unit of worth. */
-    private double cost(Open o) {
-        double part = now < o.arrived + o.type.onTimeNs() ? 1 : o.type.lateWorth();
-        return o.pace.base / (o.type.worth() * part);
+    private double workPerWorth(OpenRequest request) {
+        double worthShare = now < request.arrivedAt + request.requestClass.onTimeNs() ? 1 : request.requestClass.lateWorth();
+        return request.latency.baseNs / (request.requestClass.worth() * worthShare);
     }
 
-    private void releaseHeld(Group group) {
-        List<Open> waiting = new ArrayList<>(group.held);
-        waiting.sort(Comparator.comparingDouble(this::cost));
-        for (Open o : waiting) {
-            if (!o.done && o.held && o.inFlight == 0) {
-                decide(o);
+    private void dispatchPending(Group group) {
+        List<OpenRequest> ordered = new ArrayList<>(group.pending);
+        ordered.sort(Comparator.comparingDouble(this::workPerWorth));
+        for (OpenRequest request : ordered) {
+            if (!request.done && request.pending && request.inFlight == 0) {
+                dispatch(request);
             }
         }
     }
 
     /** Looks at all open requests and sets the next timer; the cost follows the requests in hand. */
     private void sweep() {
-        List<Open> all = new ArrayList<>(opens.values());
-        for (Open o : all) {
-            for (int i = o.ended.nextClearBit(0); i < o.attempts.size(); i = o.ended.nextClearBit(i + 1)) {
-                watch(o.attempts.get(i).store);
+        List<OpenRequest> requests = new ArrayList<>(openRequests.values());
+        for (OpenRequest request : requests) {
+            for (int i = request.ended.nextClearBit(0); i < request.attempts.size(); i = request.ended.nextClearBit(i + 1)) {
+                detectSilence(request.attempts.get(i).store);
             }
         }
-        for (Open o : all) {
-            boolean hopeless = o.held && o.inFlight == 0
-                    && (now + o.pace.base / 2 > o.giveUpAt || !repeatable(o)
-                    || !o.reached && now + tick >= o.holdUntil); // the next look would be too late
-            if (now >= o.giveUpAt || hopeless) {
-                finish(o, now >= o.giveUpAt ? EndReason.TIME_OVER
-                        : repeatable(o) ? EndReason.NO_SERVER : EndReason.NOT_REPEATABLE);
-            } else if (!o.done) {
-                rescue(o);
-                if (o.held) {
-                    touched.add(o.group);
-                    probe(o.group);
-                    wake(lookAgain(o));
+        for (OpenRequest request : requests) {
+            boolean hopeless = request.pending && request.inFlight == 0
+                    && (now + request.latency.baseNs / 2 > request.giveUpAt || !canRetry(request)
+                    || !request.reachedStore && now + minTimerNs >= request.pendingUntil); // the next look would be too late
+            if (now >= request.giveUpAt || hopeless) {
+                finish(request, now >= request.giveUpAt ? EndReason.TIME_OVER
+                        : canRetry(request) ? EndReason.NO_SERVER : EndReason.NOT_REPEATABLE);
+            } else if (!request.done) {
+                retractFromSilentStores(request);
+                if (request.pending) {
+                    touchedGroups.add(request.group);
+                    probeGroup(request.group);
+                    scheduleSweep(nextRecheckAt(request));
                 } else {
-                    wake(Math.min(o.giveUpAt, now + silentLeast / LOOK_AGAIN));
+                    scheduleSweep(Math.min(request.giveUpAt, now + minSilenceNs / RECHECK_DIVISOR));
                 }
             }
         }
     }
 
-    private boolean repeatable(Open o) {
-        return mayRunAgain(o) && o.attempts.size() < o.limits.maxAttempts();
+    private boolean canRetry(OpenRequest request) {
+        return mayRunAgain(request) && request.attempts.size() < request.limits.maxAttempts();
     }
 
-    private boolean mayRunAgain(Open o) {
-        return o.ran == null || switch (o.type.effect()) {
+    private boolean mayRunAgain(OpenRequest request) {
+        return request.firstMayHaveRun == null || switch (request.requestClass.effect()) {
             case IDEMPOTENT -> true;
-            case DEDUPLICATED -> now < o.ran.sentAt + o.type.windowNs() - WINDOW_MARGIN_NS;
+            case DEDUPLICATED -> now < request.firstMayHaveRun.sentAt + request.requestClass.windowNs() - DEDUP_MARGIN_NS;
             case AT_MOST_ONCE -> false;
         };
     }
 
     /** Takes repeatable work back from a store that has gone silent; what was sent since is its trial. */
-    private void rescue(Open o) {
-        boolean may = o.type.effect() != Effect.AT_MOST_ONCE && !panic(o.group);
-        for (int i = 0; i < o.attempts.size(); i++) {
-            Attempt a = o.attempts.get(i);
-            if (may && !o.ended.get(i) && a.store.silent && a.sentAt <= a.store.illAt) {
-                o.avoid = a.store;
-                retract(o, i);
+    private void retractFromSilentStores(OpenRequest request) {
+        boolean mayMove = request.requestClass.effect() != Effect.AT_MOST_ONCE && !inPanic(request.group);
+        for (int i = 0; i < request.attempts.size(); i++) {
+            Attempt attempt = request.attempts.get(i);
+            if (mayMove && !request.ended.get(i) && attempt.store.silent && attempt.sentAt <= attempt.store.unhealthySince) {
+                request.avoidStore = attempt.store;
+                retract(request, i);
             }
         }
     }
 
     // ---- Outcomes ----
 
-    private void answered(Answered e) {
-        Open o = opens.get(e.id());
-        if (o == null || e.attempt() >= o.attempts.size() || o.ended.get(e.attempt())) {
+    private void onAnswered(Answered e) {
+        OpenRequest request = openRequests.get(e.id());
+        if (request == null || e.attempt() >= request.attempts.size() || request.ended.get(e.attempt())) {
             return;
         }
-        Attempt a = o.attempts.get(e.attempt());
-        o.ended.set(e.attempt());
-        o.inFlight--;
-        a.store.out--;
-        a.store.outWork -= a.work;
-        o.ran = o.ran == null && !e.outcome().neverRan ? a : o.ran;
-        o.reached |= e.outcome() != Outcome.CONNECT_FAILED && e.outcome() != Outcome.MOOT;
-        touched.add(o.group);
-        reported(a.store, e.report(), e.role() == Role.PRIMARY);
-        evidence(o, a, e);
-        health(o, a, e);
-        if (e.isFinal() || o.done) {
-            close(o);
+        Attempt attempt = request.attempts.get(e.attempt());
+        request.ended.set(e.attempt());
+        request.inFlight--;
+        attempt.store.inFlight--;
+        attempt.store.inFlightWork -= attempt.work;
+        request.firstMayHaveRun = request.firstMayHaveRun == null && !e.outcome().neverRan ? attempt : request.firstMayHaveRun;
+        request.reachedStore |= e.outcome() != Outcome.CONNECT_FAILED && e.outcome() != Outcome.MOOT;
+        touchedGroups.add(request.group);
+        applyReport(attempt.store, e.report(), e.role() == Role.PRIMARY);
+        updatePositionAndRole(request, attempt, e);
+        updateHealth(request, attempt, e);
+        if (e.isFinal() || request.done) {
+            close(request);
         } else {
-            again(o, a, e.outcome());
+            retryOrFinish(request, attempt, e.outcome());
         }
     }
 
-    private void again(Open o, Attempt a, Outcome outcome) {
-        o.misses += outcome == Outcome.MISS ? 1 : 0;
-        o.avoid = a.store;
-        if (o.inFlight == 0 && (now >= o.giveUpAt || !repeatable(o) || o.accused)) {
-            finish(o, now >= o.giveUpAt ? EndReason.TIME_OVER
-                    : repeatable(o) ? EndReason.SERVERS_FAILED : EndReason.NOT_REPEATABLE);
-        } else if (o.inFlight == 0) {
-            decide(o);
+    private void retryOrFinish(OpenRequest request, Attempt attempt, Outcome outcome) {
+        request.staleReads += outcome == Outcome.MISS ? 1 : 0;
+        request.avoidStore = attempt.store;
+        if (request.inFlight == 0 && (now >= request.giveUpAt || !canRetry(request) || request.requestAtFault)) {
+            finish(request, now >= request.giveUpAt ? EndReason.TIME_OVER
+                    : canRetry(request) ? EndReason.SERVERS_FAILED : EndReason.NOT_REPEATABLE);
+        } else if (request.inFlight == 0) {
+            dispatch(request);
         }
     }
 
     /** What an answer proves of positions and of the role. */
-    private void evidence(Open o, Attempt a, Answered e) {
-        Store s = a.store;
+    private void updatePositionAndRole(OpenRequest request, Attempt attempt, Answered e) {
+        Store store = attempt.store;
         if (e.role() == Role.PRIMARY) {
-            leads(s, a.sentAt); // not when it came: what is on its way for long must not undo a newer denial
+            markLeader(store, attempt.sentAt); // not when it came: what is on its way for long must not undo a newer denial
         } else if (e.role() == Role.REPLICA) {
-            leadsNot(s, now);
+            markNotLeader(store, now);
         }
-        rolesTold |= e.role() != Role.UNKNOWN;
+        rolesReported |= e.role() != Role.UNKNOWN;
         // an answer that a reset took along may have told of the role, and that counts as heard
-        boolean lost = (rolesTold || settings.primaryField() >= 0) && e.outcome() == Outcome.RESET;
-        s.doubtedAt = e.role() != Role.UNKNOWN ? 0 : lost ? now : s.doubtedAt;
+        boolean answerLost = (rolesReported || settings.primaryField() >= 0) && e.outcome() == Outcome.RESET;
+        store.roleUncertainSince = e.role() != Role.UNKNOWN ? 0 : answerLost ? now : store.roleUncertainSince;
         if (e.positionNs() > 0 && e.positionNs() <= now + MS) { // commits are rounded up
-            s.known = Math.max(s.known, e.positionNs());
+            store.appliedPosition = Math.max(store.appliedPosition, e.positionNs());
             if (e.role() == Role.REPLICA) {
-                sawLag(s, Math.max(0, now - e.positionNs()));
+                setLag(store, Math.max(0, now - e.positionNs()));
             }
         }
-        a.owner.writing--;
-        if (o.bindsSession && !e.outcome().neverRan) {
-            Session session = remember(o.group, o.session);
-            boolean told = e.outcome() == Outcome.OK && e.positionNs() > 0;
+        attempt.session.writesInFlight--;
+        if (request.advancesToken && !e.outcome().neverRan) {
+            Session session = getOrCreateSession(request.group, request.session);
+            boolean positionReported = e.outcome() == Outcome.OK && e.positionNs() > 0;
             // where its answer was not heard it may have taken effect, and been told, up to now
-            session.token = Math.max(session.token, told ? e.positionNs() : now + MS);
+            session.token = Math.max(session.token, positionReported ? e.positionNs() : now + MS);
         }
-        if (o.type.consistency() == Consistency.WRITE || !checks) {
+        if (request.requestClass.consistency() == Consistency.WRITE || !storesCheckPosition) {
             return;
         }
         if (e.outcome() == Outcome.OK && e.role() == Role.REPLICA) {
-            s.known = Math.max(s.known, a.needed);
-            s.lag = Math.min(s.lag, Math.max(0, a.sentAt - a.needed));
-        } else if (e.outcome() == Outcome.MISS && a.needed > 0) {
-            sawLag(s, Math.max(s.lag, now - a.needed + TRIAL_NS));
-            restTrials(s);
+            store.appliedPosition = Math.max(store.appliedPosition, attempt.requiredPosition);
+            store.lag = Math.min(store.lag, Math.max(0, attempt.sentAt - attempt.requiredPosition));
+        } else if (e.outcome() == Outcome.MISS && attempt.requiredPosition > 0) {
+            setLag(store, Math.max(store.lag, now - attempt.requiredPosition + MIN_TRIAL_DELAY_NS));
+            postponeTrial(store);
         }
     }
 
-    private void sawLag(Store s, long lag) {
-        s.lag = lag;
-        s.lagAt = now;
+    private void setLag(Store store, long lag) {
+        store.lag = lag;
+        store.lagEstimatedAt = now;
     }
 
-    private void restTrials(Store s) {
-        s.nextTrial = now + Math.max(TRIAL_NS, s.lag / 4);
+    private void postponeTrial(Store store) {
+        store.nextTrialAt = now + Math.max(MIN_TRIAL_DELAY_NS, store.lag / 4);
     }
 
-    private void leads(Store s, long at) {
-        Group g = s.group;
-        if (at >= g.leaderAt && at > s.deniedAt) {
-            g.leader = s;
-            g.leaderAt = at;
+    private void markLeader(Store store, long atNs) {
+        Group group = store.group;
+        if (atNs >= group.leaderConfirmedAt && atNs > store.leadershipDeniedAt) {
+            group.leader = store;
+            group.leaderConfirmedAt = atNs;
         }
     }
 
-    private void leadsNot(Store s, long at) {
-        s.deniedAt = Math.max(s.deniedAt, at);
-        if (s.group.leader == s && at >= s.group.leaderAt) {
-            s.group.leader = null;
-            s.group.leaderAt = at;
+    private void markNotLeader(Store store, long atNs) {
+        store.leadershipDeniedAt = Math.max(store.leadershipDeniedAt, atNs);
+        if (store.group.leader == store && atNs >= store.group.leaderConfirmedAt) {
+            store.group.leader = null;
+            store.group.leaderConfirmedAt = atNs;
         }
     }
 
-    private void health(Open o, Attempt a, Answered e) {
-        Store s = a.store;
-        s.errors += FOLLOW * ((e.outcome() == Outcome.ERROR ? 1 : 0) - s.errors);
+    private void updateHealth(OpenRequest request, Attempt attempt, Answered e) {
+        Store store = attempt.store;
+        store.errorRate += EWMA_ALPHA * ((e.outcome() == Outcome.ERROR ? 1 : 0) - store.errorRate);
         switch (e.outcome()) {
             case OK -> {
-                answeredWell(s);
-                if (a.sentAt > stalledAt) {
-                    pace(s, o, e.latencyNs(), a.outThen);
+                markHealthy(store);
+                if (attempt.sentAt > stalledAt) {
+                    updateLatency(store, request, e.latencyNs(), attempt.inFlightAtSend);
                 }
-                s.rest = Math.max(restFirst, s.rest / 2);
-                if (o.erred != null && o.erred != s) {
-                    suspect(o.erred); // it failed what another store served
+                store.backoffNs = Math.max(firstBackoffNs, store.backoffNs / 2);
+                if (request.failedStore != null && request.failedStore != store) {
+                    markUnhealthy(request.failedStore); // it failed what another store served
                 }
             }
-            case MISS, FULL -> answeredWell(s);
+            case MISS, FULL -> markHealthy(store);
             case ERROR -> {
                 // two errors accuse the request, not the stores: bad requests must not eject them
-                s.unansweredSince = now;
-                o.accused = o.erred != null;
-                o.erred = s;
+                store.unansweredSince = now;
+                request.requestAtFault = request.failedStore != null;
+                request.failedStore = store;
             }
             case TIMEOUT -> {
-                if (a.sentAt > stalledAt) {
-                    s.ratio += FOLLOW * Math.max(0, e.latencyNs() / o.pace.base - s.ratio);
+                if (attempt.sentAt > stalledAt) {
+                    store.latencyRatio += EWMA_ALPHA * Math.max(0, e.latencyNs() / request.latency.baseNs - store.latencyRatio);
                 }
-                if (s.answeredAt < a.sentAt && a.sentAt > stalledAt) {
-                    suspect(s);
+                if (store.answeredAt < attempt.sentAt && attempt.sentAt > stalledAt) {
+                    markUnhealthy(store);
                 }
             }
             case CONNECT_FAILED -> {
-                suspect(s);
-                s.cut = true;
-                s.down |= s.breaks > 0;
+                markUnhealthy(store);
+                store.unreachable = true;
+                store.processDown |= store.consecutiveResets > 0;
             }
-            case RESET -> broke(s);
+            case RESET -> onConnectionReset(store);
             default -> { }
         }
-        s.unansweredSince = s.out == 0 && !s.silent ? 0 : s.unansweredSince;
+        store.unansweredSince = store.inFlight == 0 && !store.silent ? 0 : store.unansweredSince;
     }
 
-    private void answeredWell(Store s) {
-        s.coldSince = s.ill && s.down && now - s.illAt > RESTART_NS ? now : s.coldSince;
-        s.ill = s.silent = s.down = s.cut = false;
-        s.proven = true;
-        s.answeredAt = s.unansweredSince = now;
-        s.breaks = 0;
+    private void markHealthy(Store store) {
+        store.coldSince = store.unhealthy && store.processDown && now - store.unhealthySince > MIN_RESTART_NS ? now : store.coldSince;
+        store.unhealthy = store.silent = store.processDown = store.unreachable = false;
+        store.verified = true;
+        store.answeredAt = store.unansweredSince = now;
+        store.consecutiveResets = 0;
     }
 
     /** One connection broke, spoilt or closed when idle or with its process: only some with no answer between
      * make a store ill, and cold only if it stays so for a while. Costs attempts at one that is down. */
-    private void broke(Store s) {
-        s.breaks++;
-        if (s.breaks >= BREAKS || s.ill) {
-            suspect(s);
+    private void onConnectionReset(Store store) {
+        store.consecutiveResets++;
+        if (store.consecutiveResets >= MAX_CONSECUTIVE_RESETS || store.unhealthy) {
+            markUnhealthy(store);
         }
     }
 
     /** The one judgement of a store: silence, lost answers, refused connects, resets, failed probes, errors
      * that others did not make. An ill store rests, then must answer a probe, then gets one trial. */
-    private void suspect(Store s) {
-        if (!s.ill) {
-            s.ill = true;
-            s.illAt = now;
-        } else if (s.nextTrial > now) {
+    private void markUnhealthy(Store store) {
+        if (!store.unhealthy) {
+            store.unhealthy = true;
+            store.unhealthySince = now;
+        } else if (store.nextTrialAt > now) {
             return;
         }
-        s.nextTrial = now + s.rest;
-        s.rest = s == s.group.leader ? restFirst : Math.min(REST_LONGEST_NS, 2 * s.rest);
+        store.nextTrialAt = now + store.backoffNs;
+        store.backoffNs = store == store.group.leader ? firstBackoffNs : Math.min(MAX_BACKOFF_NS, 2 * store.backoffNs);
     }
 
     /** Learns how long a class takes in quiet times, and how much longer this store takes now. */
-    private void pace(Store s, Open o, long latency, int outAtSend) {
-        Pace p = o.pace;
-        s.ratio += FOLLOW * (latency / p.base - s.ratio);
-        s.load += FOLLOW * (outAtSend - s.load);
+    private void updateLatency(Store store, OpenRequest request, long latency, int inFlightAtSend) {
+        LatencyEstimate estimate = request.latency;
+        store.latencyRatio += EWMA_ALPHA * (latency / estimate.baseNs - store.latencyRatio);
+        store.usualInFlight += EWMA_ALPHA * (inFlightAtSend - store.usualInFlight);
         // chosen by load at the send, never by the outcome: lucky answers alone would drag the figure down
-        if (outAtSend <= FREE_SLOTS && s.queue < 1) {
-            p.base += Math.max(FOLLOW / 10, 1.0 / (GUESS_WEIGHT + ++p.samples)) * (latency - p.base);
-            p.base = Math.min(p.base, BASE_MOST * o.type.onTimeNs());
+        if (inFlightAtSend <= UNLOADED_CONCURRENCY && store.reportedQueue < 1) {
+            estimate.baseNs += Math.max(EWMA_ALPHA / 10, 1.0 / (INITIAL_ESTIMATE_WEIGHT + ++estimate.samples)) * (latency - estimate.baseNs);
+            estimate.baseNs = Math.min(estimate.baseNs, MAX_BASE_SHARE * request.requestClass.onTimeNs());
         }
-        carry = carry * Math.exp(-(now - carryAt) / CARRY_NS) + p.base / CARRY_NS;
-        peak = Math.max(peak * Math.exp(-(now - carryAt) / PEAK_NS), carry / Math.max(1, ready));
-        carryAt = now;
+        averageConcurrency = averageConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_AVERAGE_NS) + estimate.baseNs / CONCURRENCY_AVERAGE_NS;
+        peakConcurrency = Math.max(peakConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_PEAK_NS), averageConcurrency / Math.max(1, readyStores));
+        concurrencyAt = now;
     }
 
     /** The reported queue, which says less the older it is. */
-    private double queue(Store s) {
-        return s.queue == 0 ? 0 : s.queue * Math.exp(-(now - s.queueAt) / (double) queueTime);
+    private double currentQueue(Store store) {
+        return store.reportedQueue == 0 ? 0 : store.reportedQueue * Math.exp(-(now - store.reportedAt) / (double) queueDecayNs);
     }
 
-    private double expected(Store s, Open o) {
-        return o.pace.base * Math.max(1, s.ratio * (s.out + 1) / Math.max(FREE_SLOTS, s.load));
+    private double expectedLatency(Store store, OpenRequest request) {
+        return request.latency.baseNs * Math.max(1, store.latencyRatio * (store.inFlight + 1) / Math.max(UNLOADED_CONCURRENCY, store.usualInFlight));
     }
 
     /** Whether a store can be expected to answer in time. Guards against queues that make all late, from
      * overload, slow machines or other fronts; refuses too much where answer times scatter widely. */
-    private boolean usable(Store s, Open o) {
-        if (!s.listed() || !s.proven || !coldRoom(s, o.pace.base)) {
+    private boolean canServeInTime(Store store, OpenRequest request) {
+        if (!store.isReady() || !store.verified || !hasColdBudget(store, request.latency.baseNs)) {
             return false;
         }
-        if (s.ill && (s.cut || !panic(o.group))) { // what cannot be reached is no use, whatever the others do
-            return s.out == 0 && s.nextTrial <= now && (s.wellAt >= s.illAt || !settings.limits().probes());
+        if (store.unhealthy && (store.unreachable || !inPanic(request.group))) { // what cannot be reached is no use, whatever the others do
+            return store.inFlight == 0 && store.nextTrialAt <= now && (store.probeOkAt >= store.unhealthySince || !settings.limits().probes());
         }
-        long aim = o.arrived + o.type.onTimeNs();
+        long targetAt = request.arrivedAt + request.requestClass.onTimeNs();
         // a late request takes what is left over: it must not build a queue that makes others late too
-        long left = Math.min(now < aim ? aim - now : o.type.onTimeNs(), o.giveUpAt - now);
-        boolean free = s.out == 0 || queue(s) < 1 && s.out < 2 * FREE_SLOTS;
-        double wait = queue(s) * o.pace.base / CORES;
-        return free ? wait + o.pace.base <= left : wait + expected(s, o) <= FIT_IN * left;
+        long remainingNs = Math.min(now < targetAt ? targetAt - now : request.requestClass.onTimeNs(), request.giveUpAt - now);
+        boolean lightlyLoaded = store.inFlight == 0 || currentQueue(store) < 1 && store.inFlight < 2 * UNLOADED_CONCURRENCY;
+        double queueWait = currentQueue(store) * request.latency.baseNs / ASSUMED_CORES;
+        return lightlyLoaded ? queueWait + request.latency.baseNs <= remainingNs : queueWait + expectedLatency(store, request) <= MAX_EXPECTED_SHARE * remainingNs;
     }
 
     /** Most of a group looks ill: the load or this front is to blame, and ejecting would only add to it. */
-    private boolean panic(Group group) {
-        return group.members.stream().filter(Store::counts).mapToInt(s -> s.ill ? 1 : -1).sum() > 0;
+    private boolean inPanic(Group group) {
+        return group.members.stream().filter(Store::countsAsMember).mapToInt(store -> store.unhealthy ? 1 : -1).sum() > 0;
     }
 
     // ---- Cold stores ----
 
     /** Part of its full capacity that a store has at least; 1 once it is warm. */
-    private double coldPart(Store s) {
-        long age = now - s.coldSince;
-        if (s.coldSince == 0 || age >= settings.rules().rampNs()) {
+    private double capacityShare(Store store) {
+        long age = now - store.coldSince;
+        if (store.coldSince == 0 || age >= settings.rules().rampNs()) {
             return 1;
         }
-        double least = settings.rules().coldShare();
-        return least + (1 - least) * Math.max(0, age) / settings.rules().rampNs();
+        double coldShare = settings.rules().coldShare();
+        return coldShare + (1 - coldShare) * Math.max(0, age) / settings.rules().rampNs();
     }
 
     /** Whether a store that may be cold can take so much more work now; always true of a warm one. */
-    private boolean coldRoom(Store s, double work) {
-        double part = coldPart(s);
-        if (part >= 1) {
+    private boolean hasColdBudget(Store store, double work) {
+        double share = capacityShare(store);
+        if (share >= 1) {
             return true;
         }
-        double rate = settings.rules().overloadFactor() * part * usualCarry();
+        double rate = settings.rules().overloadFactor() * share * usualConcurrency();
         // a spell starts at a random point of one request's span: a hundred fronts must not all send at once
-        double drained = s.coldLevel - COLD_STEADY * rate * (now - s.coldAt);
-        s.coldLevel = s.coldAt < s.coldSince ? random.nextDouble() * work : Math.max(0, drained);
-        s.coldAt = now;
-        return s.coldLevel == 0 || s.coldLevel + work <= COLD_BURST * rate * settings.rules().fallNs();
+        double remainingUse = store.coldBudgetUsed - COLD_STEADY_SHARE * rate * (now - store.coldBudgetAt);
+        store.coldBudgetUsed = store.coldBudgetAt < store.coldSince ? random.nextDouble() * work : Math.max(0, remainingUse);
+        store.coldBudgetAt = now;
+        return store.coldBudgetUsed == 0 || store.coldBudgetUsed + work <= COLD_BURST_SHARE * rate * settings.rules().fallNs();
     }
 
     /** Work per time that this front sends to a busy store, by the peak of late: what cold ones may not take
      * must not lower what they may take next. At least its share of most of the cores of a store. */
-    private double usualCarry() {
-        return Math.max(peak * Math.exp(-(now - carryAt) / PEAK_NS), 0.6 * CORES / settings.balancers());
+    private double usualConcurrency() {
+        return Math.max(peakConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_PEAK_NS), 0.6 * ASSUMED_CORES / settings.balancers());
     }
 
     // ---- Probes, timers and the list ----
 
     /** Guards against hung, vanished or cut-off stores: work out, no answer. May hurt on a lone long read. */
-    private void watch(Store s) {
-        if (s.out > 0 && !s.silent && s.unansweredSince > 0) {
-            double gap = s.outWork / s.out * Math.max(1, s.ratio) / Math.max(1, Math.min(s.out, s.load));
-            long since = Math.max(stalledAt, s.unansweredSince);
-            if (now - since > Math.max(silentLeast, SILENT_GAPS * gap)) {
-                suspect(s);
-                s.silent = true;
-                s.illAt = now;
+    private void detectSilence(Store store) {
+        if (store.inFlight > 0 && !store.silent && store.unansweredSince > 0) {
+            double gap = store.inFlightWork / store.inFlight * Math.max(1, store.latencyRatio) / Math.max(1, Math.min(store.inFlight, store.usualInFlight));
+            long since = Math.max(stalledAt, store.unansweredSince);
+            if (now - since > Math.max(minSilenceNs, SILENCE_ANSWER_GAPS * gap)) {
+                markUnhealthy(store);
+                store.silent = true;
+                store.unhealthySince = now;
             }
         }
     }
 
     /** Probes follow requests: each in turn of a group that has no leader, and the one longest unseen. */
-    private void probe(Group g) {
-        boolean lost = g.leader == null || g.leader.ill || !g.leader.listed();
-        Store stalest = null;
-        Store doubtful = null;
-        for (Store s : g.members) {
-            if ((lost || s.ill || !s.proven || s.doubtedAt > 0) && s.nextTrial <= now) {
-                doubtful = doubtful == null || s.probedAt < doubtful.probedAt ? s : doubtful;
-            } else if (s.listed() && !s.probing && (stalest == null || s.seenAt() < stalest.seenAt())) {
-                stalest = s;
+    private void probeGroup(Group group) {
+        boolean leaderUnavailable = group.leader == null || group.leader.unhealthy || !group.leader.isReady();
+        Store leastRecentlyChecked = null;
+        Store uncertain = null;
+        for (Store store : group.members) {
+            if ((leaderUnavailable || store.unhealthy || !store.verified || store.roleUncertainSince > 0) && store.nextTrialAt <= now) {
+                uncertain = uncertain == null || store.probedAt < uncertain.probedAt ? store : uncertain;
+            } else if (store.isReady() && !store.probing && (leastRecentlyChecked == null || store.lastCheckedAt() < leastRecentlyChecked.lastCheckedAt())) {
+                leastRecentlyChecked = store;
             }
         }
-        if (doubtful != null) {
-            inspect(doubtful, !doubtful.proven);
+        if (uncertain != null) {
+            probeStore(uncertain, !uncertain.verified);
         }
-        if (stalest != null && now - stalest.seenAt() >= 2 * PROBE_GAP_NS && probeTokens > PROBE_BURST / 2) {
-            inspect(stalest, false);
+        if (leastRecentlyChecked != null && now - leastRecentlyChecked.lastCheckedAt() >= 2 * MIN_PROBE_INTERVAL_NS && probeBudget > PROBE_BURST / 2) {
+            probeStore(leastRecentlyChecked, false);
         }
     }
 
     /** Probes a store if due and paid for, or urgent; whether its answer is under way or has just come. */
-    private boolean inspect(Store s, boolean urgent) {
-        boolean due = s.listed() && !s.probing && now - s.probedAt >= PROBE_GAP_NS;
-        if (due && settings.limits().probes() && (urgent || probeTokens >= 1)) {
-            s.probing = true;
-            s.probedAt = now;
-            probeTokens = Math.max(0, probeTokens - 1);
-            sink.accept(new Inspect(s.id));
+    private boolean probeStore(Store store, boolean urgent) {
+        boolean due = store.isReady() && !store.probing && now - store.probedAt >= MIN_PROBE_INTERVAL_NS;
+        if (due && settings.limits().probes() && (urgent || probeBudget >= 1)) {
+            store.probing = true;
+            store.probedAt = now;
+            probeBudget = Math.max(0, probeBudget - 1);
+            sink.accept(new Inspect(store.id));
         }
-        return s.probing || now - s.probedAt <= PROBE_GAP_NS;
+        return store.probing || now - store.probedAt <= MIN_PROBE_INTERVAL_NS;
     }
 
-    private void checked(Checked e) {
-        Store s = stores.get(e.store());
-        if (s == null) {
+    private void onChecked(Checked e) {
+        Store store = stores.get(e.store());
+        if (store == null) {
             return;
         }
-        s.probing = false;
-        touched.add(s.group);
+        store.probing = false;
+        touchedGroups.add(store.group);
         if (e.outcome() == Outcome.OK) {
-            s.proven = true;
-            s.cut = false;
-            s.wellAt = now;
-            reported(s, e.report(), false);
+            store.verified = true;
+            store.unreachable = false;
+            store.probeOkAt = now;
+            applyReport(store, e.report(), false);
         } else if (e.outcome() == Outcome.RESET) {
-            broke(s);
-        } else if (e.outcome() != Outcome.FULL && s.answeredAt < s.probedAt && s.probedAt > stalledAt) {
-            suspect(s);
-            s.down |= e.outcome() != Outcome.ERROR;
-            s.cut |= e.outcome() == Outcome.CONNECT_FAILED;
+            onConnectionReset(store);
+        } else if (e.outcome() != Outcome.FULL && store.answeredAt < store.probedAt && store.probedAt > stalledAt) {
+            markUnhealthy(store);
+            store.processDown |= e.outcome() != Outcome.ERROR;
+            store.unreachable |= e.outcome() == Outcome.CONNECT_FAILED;
         }
     }
 
     /** What a report says; nothing if not whole or ahead of time, nor of roles beside a primary's answer. */
-    private void reported(Store s, float[] report, boolean leads) {
-        int needed = Math.max(settings.positionField(), settings.primaryField());
-        if (settings.positionField() < 0 || report.length <= needed) {
+    private void applyReport(Store store, float[] report, boolean fromLeader) {
+        int lastField = Math.max(settings.positionField(), settings.primaryField());
+        if (settings.positionField() < 0 || report.length <= lastField) {
             return;
         }
         float seconds = Math.nextDown(report[settings.positionField()]);
@@ -976,79 +976,79 @@
         if (position > now) {
             return;
         }
-        double full = field(report, settings.utilField()) > UTIL_FULL ? 1 : 0;
-        double excess = Math.max(full, field(report, settings.inflightField()) - CORES);
-        s.queue = Math.max(excess, field(report, settings.queueField()));
-        s.queueAt = now;
-        s.known = Math.max(s.known, position);
+        double fullyUtilized = reportField(report, settings.utilField()) > FULL_UTILIZATION ? 1 : 0;
+        double excess = Math.max(fullyUtilized, reportField(report, settings.inflightField()) - ASSUMED_CORES);
+        store.reportedQueue = Math.max(excess, reportField(report, settings.queueField()));
+        store.reportedAt = now;
+        store.appliedPosition = Math.max(store.appliedPosition, position);
         boolean primary = settings.primaryField() >= 0 && report[settings.primaryField()] == 1f;
         if (primary) {
-            reportAge += FOLLOW * (now - position - reportAge);
-            leads(s, Math.max(position, 1));
-            s.doubtedAt = position >= s.doubtedAt ? 0 : s.doubtedAt;
-        } else if (!leads) {
-            leadsNot(s, now - 2 * (long) reportAge);
-            s.doubtedAt = s.group.leader == s ? now : 0; // older than its own word, or newer: it is asked
-            if (s.lagAt < now - reportAge) {
-                sawLag(s, Math.max(0, now - position - (long) reportAge));
+            reportAgeNs += EWMA_ALPHA * (now - position - reportAgeNs);
+            markLeader(store, Math.max(position, 1));
+            store.roleUncertainSince = position >= store.roleUncertainSince ? 0 : store.roleUncertainSince;
+        } else if (!fromLeader) {
+            markNotLeader(store, now - 2 * (long) reportAgeNs);
+            store.roleUncertainSince = store.group.leader == store ? now : 0; // older than its own word, or newer: it is asked
+            if (store.lagEstimatedAt < now - reportAgeNs) {
+                setLag(store, Math.max(0, now - position - (long) reportAgeNs));
             }
         }
     }
 
-    private static double field(float[] report, int field) {
-        return field >= 0 && field < report.length ? report[field] : 0;
+    private static double reportField(float[] report, int index) {
+        return index >= 0 && index < report.length ? report[index] : 0;
     }
 
-    private void listChanged(ListChanged e) {
+    private void onListChanged(ListChanged e) {
         if (e.mode() == ListMode.FAILED) {
-            sink.accept(new Schedule(ASK_AGAIN_NS + random.nextLong(ASK_AGAIN_NS), ASK));
+            sink.accept(new Schedule(LIST_RETRY_NS + random.nextLong(LIST_RETRY_NS), SUBSCRIBE_TIMER));
             return;
         }
         if (e.mode() != ListMode.DELTA) {
-            Set<Long> full = new HashSet<>();
-            e.lines().forEach(line -> full.add(line.store()));
-            stores.values().stream().filter(s -> !full.contains(s.id)).forEach(this::gone);
+            Set<Long> listedStores = new HashSet<>();
+            e.lines().forEach(line -> listedStores.add(line.store()));
+            stores.values().stream().filter(store -> !listedStores.contains(store.id)).forEach(this::markRemoved);
         }
         boolean first = stores.isEmpty();
-        e.lines().forEach(line -> listed(line, first));
-        ready = (int) stores.values().stream().filter(Store::listed).count();
+        e.lines().forEach(line -> applyListing(line, first));
+        readyStores = (int) stores.values().stream().filter(Store::isReady).count();
     }
 
-    private void listed(Listing line, boolean first) {
-        Group group = groups.computeIfAbsent(line.group(), g -> new Group());
-        Store s = stores.computeIfAbsent(line.store(), id -> new Store(id, group, restFirst));
-        s.proven |= first;
-        if (line.availability() == Availability.GONE) {
-            gone(s);
+    private void applyListing(Listing listing, boolean first) {
+        Group group = groups.computeIfAbsent(listing.group(), g -> new Group());
+        Store store = stores.computeIfAbsent(listing.store(), id -> new Store(id, group, firstBackoffNs));
+        store.verified |= first;
+        if (listing.availability() == Availability.GONE) {
+            markRemoved(store);
             return;
         }
-        s.group.members.remove(s);
-        s.group = group;
-        group.members.add(s);
-        s.zone = line.zone();
-        s.availability = line.availability();
-        s.listedGone = false;
-        if (line.startedAt() > s.startedAt) {
-            s.startedAt = line.startedAt();
-            s.coldSince = line.startedAt();
+        store.group.members.remove(store);
+        store.group = group;
+        group.members.add(store);
+        store.zone = listing.zone();
+        store.availability = listing.availability();
+        store.removedFromList = false;
+        if (listing.startedAt() > store.startedAt) {
+            store.startedAt = listing.startedAt();
+            store.coldSince = listing.startedAt();
         }
-        boolean news = line.writer() && !s.listedWriter && group.leader == null && s.deniedAt == 0;
-        s.listedWriter = line.writer();
-        group.leader = news && settings.showsRole() ? s : group.leader;
-        if (!s.listed() && group.leader == s) {
-            leadsNot(s, now);
+        boolean newlyNamedWriter = listing.writer() && !store.listedAsWriter && group.leader == null && store.leadershipDeniedAt == 0;
+        store.listedAsWriter = listing.writer();
+        group.leader = newlyNamedWriter && settings.showsRole() ? store : group.leader;
+        if (!store.isReady() && group.leader == store) {
+            markNotLeader(store, now);
         }
     }
 
-    private void gone(Store s) {
-        s.listedGone = true;
+    private void markRemoved(Store store) {
+        store.removedFromList = true;
         if (settings.rules().goneIsAdvice()) {
             return;
         }
-        s.availability = Availability.GONE;
-        s.group.members.remove(s);
-        if (s.group.leader == s) {
-            leadsNot(s, now);
+        store.availability = Availability.GONE;
+        store.group.members.remove(store);
+        if (store.group.leader == store) {
+            markNotLeader(store, now);
         }
     }
 }
--- a/pooler/src/main/java/holdmux/decision/SplitterApi.java
+++ b/pooler/src/main/java/holdmux/decision/SplitterApi.java
@@ -67,7 +67,7 @@
 
     /** Something that happened to this front. */
     public sealed interface Event permits ListChanged, Arrived, Answered, Checked, Wakeup, ClientLeft,
-            Started, PeerMessage, Retuned, Written, GiveUp {}
+            Started, PeerMessage, SettingsChanged, LastWrite, AbortRequest {}
 
     /** The list, or changes to it; empty where a call failed. */
     public record ListChanged(ListMode mode, long generation, List<Listing> lines) implements Event {}
@@ -90,16 +90,16 @@
     public record ClientLeft(long id) implements Event {}
 
     /** This front ends: the request's final answer is due now, whatever is still out for it. */
-    public record GiveUp(long id) implements Event {}
+    public record AbortRequest(long id) implements Event {}
 
     /** A streamed answer has begun. */
     public record Started(long id, long store, int attempt) implements Event {}
 
     /** Other settings; {@code was} tells where each class stood in those before, -1 for a new one. */
-    public record Retuned(Settings settings, List<Integer> was) implements Event {}
+    public record SettingsChanged(Settings settings, List<Integer> previousIndices) implements Event {}
 
     /** A write that another process of this front answered; session 0 stands for the group's floor. */
-    public record Written(int group, long session, long positionNs) implements Event {}
+    public record LastWrite(int group, long session, long positionNs) implements Event {}
 
     /** A message from another front. */
     public record PeerMessage(int from, byte[] body) implements Event {}
--- a/pooler/src/main/java/holdmux/discovery/Agents.java
+++ b/pooler/src/main/java/holdmux/discovery/AgentAddresses.java
@@ -8,9 +8,9 @@
  * @param first the address that is called first
  * @param alternative another one that is called in turns with it until one has answered; null for none
  */
-public record Agents(InetSocketAddress first, InetSocketAddress alternative) {
+public record AgentAddresses(InetSocketAddress first, InetSocketAddress alternative) {
     /** The one agent there is. */
-    public static Agents only(InetSocketAddress agent) {
-        return new Agents(agent, null);
+    public static AgentAddresses only(InetSocketAddress agent) {
+        return new AgentAddresses(agent, null);
     }
 }
--- a/pooler/src/main/java/holdmux/discovery/CallSchedule.java
+++ b/pooler/src/main/java/holdmux/discovery/CallSchedule.java
@@ -15,8 +15,8 @@
  * @param againMs the pause after the first failure, twice as long each time, half of it more or less by chance
  * @param longestAgainMs the longest such pause
  */
-record CallSchedule(int holdMs, int firstHoldMs, int unheldFrom, int silenceMs, int firstTurnMs, int againTurnMs,
-        int againMs, int longestAgainMs) {
+record CallSchedule(int holdMs, int firstHoldMs, int noHoldAfterFailures, int silenceTimeoutMs, int firstCallTimeoutMs, int retryTimeoutMs,
+        int initialBackoffMs, int maxBackoffMs) {
     /**
      * Where an agent on this machine is told of changes and answers at once. What it has counts as told at once, and binds
      * 2 s later, also at the end of a silence: a call of which nothing comes is seen, another one made and answered within
@@ -28,34 +28,34 @@
      * Where discovery tells changes only when it is asked. A change counts as told when it was written, at the latest 6 s
      * after discovery had it and could be reached: two calls may be silent, the third is answered within 5.6 s.
      */
-    static final CallSchedule ASKED = new CallSchedule(2_000, 500, 2, 800, 2_800, 1_600, 100, 500);
+    static final CallSchedule SUBSCRIBED = new CallSchedule(2_000, 500, 2, 800, 2_800, 1_600, 100, 500);
 
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAX_DOUBLINGS = 16;
 
     /** The schedule for a deployment whose lists have to be asked for, or are pushed to the agents. */
-    static CallSchedule of(boolean mustAsk) {
-        return mustAsk ? ASKED : PUSHED;
+    static CallSchedule of(boolean mustSubscribe) {
+        return mustSubscribe ? SUBSCRIBED : PUSHED;
     }
 
     /** How long discovery is asked to wait for news; {@code begins}: the call begins a watch. */
-    int holdMs(boolean begins, int failures) {
-        if (failures >= unheldFrom) {
+    int holdMs(boolean startsWatch, int failures) {
+        if (failures >= noHoldAfterFailures) {
             return 0;
         }
-        return begins ? firstHoldMs : holdMs;
+        return startsWatch ? firstHoldMs : holdMs;
     }
 
     /** How long a call may take before another one is made beside it; {@code begins}: the call begins a watch. */
-    int patienceMs(boolean begins, int failures) {
-        if (!begins) {
-            return holdMs + silenceMs;
+    int timeoutMs(boolean startsWatch, int failures) {
+        if (!startsWatch) {
+            return holdMs + silenceTimeoutMs;
         }
-        return failures == 0 ? firstTurnMs : againTurnMs;
+        return failures == 0 ? firstCallTimeoutMs : retryTimeoutMs;
     }
 
     /** The pause before the call that follows this many failures in a row. */
-    long pauseMs(int failures, SplittableRandom random) {
-        long longest = Math.min(longestAgainMs, (long) againMs << Math.min(failures, MOST_DOUBLINGS));
-        return longest / 2 + random.nextLong(longest);
+    long backoffMs(int failures, SplittableRandom random) {
+        long baseMs = Math.min(maxBackoffMs, (long) initialBackoffMs << Math.min(failures, MAX_DOUBLINGS));
+        return baseMs / 2 + random.nextLong(baseMs);
     }
 }
--- a/pooler/src/main/java/holdmux/discovery/DiscoveryCall.java
+++ b/pooler/src/main/java/holdmux/discovery/DiscoveryCall.java
@@ -1,6 +1,6 @@
 package holdmux.discovery;
 
-import holdmux.core.TimedInput;
+import holdmux.core.DeadlineInputStream;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -23,27 +23,27 @@
     }
 
     /** What is asked after a pause, the how manyth query of the program it is, and what was known then. */
-    record Query(String parameters, long pauseMs, long number, ListVersions.Asked asked) {}
+    record Query(String parameters, long delayMs, long number, ListVersions.RequestState atRequest) {}
 
     /** An answer that takes longer than this is of no use: every change in it has been told by later calls. */
-    private static final int LISTEN_MS = 30_000;
+    private static final int READ_TIMEOUT_MS = 30_000;
     /** A connect that takes longer never comes up; another thread's close need not end it. */
-    private static final int LONGEST_CONNECT_MS = 3_000;
+    private static final int CONNECT_TIMEOUT_MS = 3_000;
 
     private final long number;
     private final InetSocketAddress agent;
-    private final Query first;
+    private final Query firstQuery;
     private final Listener listener;
     private final Socket socket = new Socket();
     private volatile Query query;
-    private volatile boolean withinAnswer;
+    private volatile boolean partialResponse;
 
-    DiscoveryCall(long number, InetSocketAddress agent, Query first, Listener listener) {
+    DiscoveryCall(long number, InetSocketAddress agent, Query firstQuery, Listener listener) {
         this.number = number;
         this.agent = agent;
-        this.first = first;
+        this.firstQuery = firstQuery;
         this.listener = listener;
-        query = first;
+        query = firstQuery;
     }
 
     /** Its number in the log. */
@@ -61,21 +61,21 @@
     }
 
     /** Whether an answer has begun that is not whole yet, or never became whole. */
-    boolean isWithinAnswer() {
-        return withinAnswer;
+    boolean hasPartialResponse() {
+        return partialResponse;
     }
 
     @Override
     public void run() {
         try (socket) {
-            socket.connect(agent, LONGEST_CONNECT_MS);
+            socket.connect(agent, CONNECT_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
-            TimedInput timed = new TimedInput(socket, LISTEN_MS);
+            DeadlineInputStream timed = new DeadlineInputStream(socket, READ_TIMEOUT_MS);
             InputStream in = new BufferedInputStream(timed);
-            for (Query next = first; next != null;) {
+            for (Query next = firstQuery; next != null;) {
                 query = next;
-                Thread.sleep(next.pauseMs());
-                timed.within(LISTEN_MS);
+                Thread.sleep(next.delayMs());
+                timed.setTimeout(READ_TIMEOUT_MS);
                 socket.getOutputStream().write(request(next).getBytes(StandardCharsets.US_ASCII));
                 next = listener.answered(this, read(in));
             }
@@ -86,10 +86,10 @@
 
     private HttpResponse read(InputStream in) throws IOException {
         in.mark(1);
-        withinAnswer = in.read() >= 0;
+        partialResponse = in.read() >= 0;
         in.reset();
         HttpResponse response = HttpResponse.read(in);
-        withinAnswer = false;
+        partialResponse = false;
         return response;
     }
 
--- a/pooler/src/main/java/holdmux/discovery/HttpHead.java
+++ b/pooler/src/main/java/holdmux/discovery/HttpHead.java
@@ -8,32 +8,32 @@
 import java.util.Map;
 
 /** The first line and the headers of an HTTP/1.1 message, by their names in lower case, read with bounds on all parts. */
-public record HttpHead(String first, Map<String, String> headers) {
-    static final int MOST_LINE = 8_192;
-    static final int MOST_HEADERS = 100;
+public record HttpHead(String startLine, Map<String, String> headers) {
+    static final int MAX_LINE = 8_192;
+    static final int MAX_HEADERS = 100;
 
     public static HttpHead read(InputStream in) throws IOException {
-        String first = line(in);
+        String startLine = readLine(in);
         Map<String, String> headers = new HashMap<>();
         int count = 0;
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
-            if (colon < 1 || ++count > MOST_HEADERS) {
+            if (colon < 1 || ++count > MAX_HEADERS) {
                 throw new IOException("a malformed header, or too many of them");
             }
             headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).strip().toLowerCase(Locale.ROOT));
         }
-        return new HttpHead(first, headers);
+        return new HttpHead(startLine, headers);
     }
 
     /** The length of the body by its header; -1 where there is none. */
     public long contentLength() throws IOException {
         String length = headers.get("content-length");
-        return length == null ? -1 : number(length, 10);
+        return length == null ? -1 : parseLength(length, 10);
     }
 
-    static long number(String text, int radix) throws IOException {
+    static long parseLength(String text, int radix) throws IOException {
         try {
             long value = Long.parseLong(text, radix);
             if (value >= 0 && !text.startsWith("+") && !text.startsWith("-")) {
@@ -45,14 +45,14 @@
         throw new IOException("a malformed length");
     }
 
-    static String line(InputStream in) throws IOException {
+    static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
                 throw new EOFException("the message ends early");
             }
-            if (line.length() >= MOST_LINE) {
-                throw new IOException("a line over " + MOST_LINE + " bytes");
+            if (line.length() >= MAX_LINE) {
+                throw new IOException("a line over " + MAX_LINE + " bytes");
             }
             line.append((char) c);
         }
--- a/pooler/src/main/java/holdmux/discovery/HttpResponse.java
+++ b/pooler/src/main/java/holdmux/discovery/HttpResponse.java
@@ -11,62 +11,62 @@
 /** One HTTP/1.1 response, read whole with bounds on all its parts. */
 record HttpResponse(int status, String body, boolean keepAlive) {
     /** 1,024 servers with indentation and the longest names take 1.1 MiB; a list is held twice while it is decoded. */
-    static final int MOST_BODY = 4 << 20;
+    static final int MAX_BODY = 4 << 20;
 
-    private static final int CHUNK = 16_384;
+    private static final int BUFFER_SIZE = 16_384;
     /** How often a body without a length is looked at for being whole; one in pieces that end so by chance waits for its end. */
-    private static final int MOST_LOOKS = 64;
+    private static final int MAX_JSON_CHECKS = 64;
 
-    /** A body beyond {@link #MOST_BODY}. */
+    /** A body beyond {@link #MAX_BODY}. */
     static final class TooLongException extends IOException {
         private static final long serialVersionUID = 1L;
 
         TooLongException() {
-            super("a body over " + MOST_BODY + " bytes");
+            super("a body over " + MAX_BODY + " bytes");
         }
     }
 
     static HttpResponse read(InputStream in) throws IOException {
         HttpHead head = HttpHead.read(in);
-        String status = head.first();
-        if (!status.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
+        String statusLine = head.startLine();
+        if (!statusLine.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
             throw new IOException("no HTTP status line");
         }
         long length = head.contentLength();
         boolean chunked = "chunked".equals(head.headers().get("transfer-encoding"));
-        boolean keepAlive = status.startsWith("HTTP/1.1") && !"close".equals(head.headers().get("connection"));
-        byte[] body = chunked ? chunks(in) : length >= 0 ? exactly(in, length) : toEnd(in);
-        return new HttpResponse(Integer.parseInt(status.substring(9, 12)),
+        boolean keepAlive = statusLine.startsWith("HTTP/1.1") && !"close".equals(head.headers().get("connection"));
+        byte[] body = chunked ? readChunked(in) : length >= 0 ? readExactly(in, length) : readToEnd(in);
+        return new HttpResponse(Integer.parseInt(statusLine.substring(9, 12)),
                 new String(body, StandardCharsets.UTF_8), keepAlive && (chunked || length >= 0));
     }
 
-    private static byte[] chunks(InputStream in) throws IOException {
+    private static byte[] readChunked(InputStream in) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         while (true) {
-            String head = HttpHead.line(in);
-            int extension = head.indexOf(';');
-            long size = HttpHead.number((extension < 0 ? head : head.substring(0, extension)).strip(), 16);
-            if (body.size() + size > MOST_BODY) {
+            String sizeLine = HttpHead.readLine(in);
+            int extension = sizeLine.indexOf(';');
+            long size = HttpHead.parseLength((extension < 0 ? sizeLine : sizeLine.substring(0, extension)).strip(), 16);
+            if (body.size() + size > MAX_BODY) {
                 throw new TooLongException();
             }
             if (size == 0) {
                 int trailers = 0;
-                while (!HttpHead.line(in).isEmpty()) {
-                    if (++trailers > HttpHead.MOST_HEADERS) {
+                while (!HttpHead.readLine(in).isEmpty()) {
+                    if (++trailers > HttpHead.MAX_HEADERS) {
                         throw new IOException("too many trailers");
                     }
                 }
                 return body.toByteArray();
             }
-            body.writeBytes(exactly(in, size));
-            if (!HttpHead.line(in).isEmpty()) {
+            body.writeBytes(readExactly(in, size));
+            if (!HttpHead.readLine(in).isEmpty()) {
                 throw new IOException("a chunk is longer than it says");
             }
         }
     }
 
-    private static byte[] exactly(InputStream in, long length) throws IOException {
-        if (length > MOST_BODY) {
+    private static byte[] readExactly(InputStream in, long length) throws IOException {
+        if (length > MAX_BODY) {
             throw new TooLongException();
         }
         byte[] body = in.readNBytes((int) length);
@@ -80,16 +80,16 @@
      * A body without a length, up to its end: the connection's, or that of the one JSON object it holds, since the close may
      * not come. A reset is no end.
      */
-    private static byte[] toEnd(InputStream in) throws IOException {
+    private static byte[] readToEnd(InputStream in) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        byte[] some = new byte[CHUNK];
-        int looks = 0;
-        for (int got = in.read(some); got >= 0; got = in.read(some)) {
-            body.write(some, 0, got);
-            if (body.size() > MOST_BODY) {
+        byte[] buffer = new byte[BUFFER_SIZE];
+        int checks = 0;
+        for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+            body.write(buffer, 0, count);
+            if (body.size() > MAX_BODY) {
                 throw new TooLongException();
             }
-            if (endsInBrace(some, got) && ++looks <= MOST_LOOKS && isWhole(body)) {
+            if (endsInBrace(buffer, count) && ++checks <= MAX_JSON_CHECKS && isCompleteJson(body)) {
                 break;
             }
         }
@@ -104,7 +104,7 @@
         return at >= 0 && bytes[at] == '}';
     }
 
-    private static boolean isWhole(ByteArrayOutputStream body) {
+    private static boolean isCompleteJson(ByteArrayOutputStream body) {
         try {
             new JSONObject(body.toString(StandardCharsets.UTF_8));
             return true;
--- a/pooler/src/main/java/holdmux/discovery/ListVersions.java
+++ b/pooler/src/main/java/holdmux/discovery/ListVersions.java
@@ -8,13 +8,13 @@
  */
 final class ListVersions {
     /** What becomes of a list. */
-    enum Verdict {
+    enum Disposition {
         /** It is the newest: it is taken in. */
-        TAKE,
+        APPLY,
         /** It confirms the list in force. */
-        NOTHING_NEW,
+        UNCHANGED,
         /** It was asked for before newer lists came, or under an earlier numbering: it tells nothing. */
-        OVERTAKEN,
+        SUPERSEDED,
         /** It is older than the list in force, although it was asked for since that came: it is refused. */
         OLDER,
         /** It names no change, but its version is below the one asked from: the agent lags or counts anew. */
@@ -30,19 +30,19 @@
      * @param numbering how often discovery had begun to count anew
      * @param wholeWishes how often the whole list had been wished for
      */
-    record Asked(long version, int numbering, int wholeWishes) {}
+    record RequestState(long version, int epoch, int wholeListRequests) {}
 
     private long version;
-    private int numbering;
+    private int epoch;
     /** Wishes for the whole list, and how many of them a whole list has met that was asked for since. */
-    private int wholeWishes, wholeWishesMet;
+    private int wholeListRequests, wholeListRequestsMet;
     /** Whether the last list was an older one: a second such one, whole, shows that counting began anew. */
     private boolean sawOlder;
 
     /** {@code known} is the list as it was last had, empty for none. */
-    ListVersions(HostList known) {
-        version = known.seq();
-        wholeWishes = known.hosts().isEmpty() ? 1 : 0;
+    ListVersions(HostList cachedList) {
+        version = cachedList.seq();
+        wholeListRequests = cachedList.hosts().isEmpty() ? 1 : 0;
     }
 
     /** The version in force; a call asks for what changed since. */
@@ -51,59 +51,59 @@
     }
 
     /** What is known now, for a call that is made now. */
-    Asked asked() {
-        return new Asked(version, numbering, wholeWishes);
+    RequestState requestState() {
+        return new RequestState(version, epoch, wholeListRequests);
     }
 
     /** Whether the next call asks for the whole list. */
-    boolean wholeWanted() {
-        return wholeWishesMet < wholeWishes;
+    boolean needsWholeList() {
+        return wholeListRequestsMet < wholeListRequests;
     }
 
     /** The whole list is to be asked for: what discovery told could not be used, or may lack something. */
-    void wantWhole() {
-        wholeWishes++;
+    void requestWholeList() {
+        wholeListRequests++;
     }
 
     /** Judges a list by what was known when it was asked for. Changes nothing. */
-    Verdict judge(HostList list, Asked asked) {
-        if (asked.numbering() != numbering) {
-            return Verdict.OVERTAKEN;
+    Disposition classify(HostList list, RequestState atRequest) {
+        if (atRequest.epoch() != epoch) {
+            return Disposition.SUPERSEDED;
         }
-        return list.whole() ? judgeWhole(list, asked) : judgeChanges(list, asked);
+        return list.whole() ? classifyWhole(list, atRequest) : classifyChanges(list, atRequest);
     }
 
-    private Verdict judgeWhole(HostList list, Asked asked) {
+    private Disposition classifyWhole(HostList list, RequestState atRequest) {
         if (list.seq() >= version) {
-            return Verdict.TAKE;
+            return Disposition.APPLY;
         }
-        if (asked.version() < version) {
-            return Verdict.OVERTAKEN;
+        if (atRequest.version() < version) {
+            return Disposition.SUPERSEDED;
         }
-        return sawOlder ? Verdict.TAKE : Verdict.OLDER;
+        return sawOlder ? Disposition.APPLY : Disposition.OLDER;
     }
 
-    private Verdict judgeChanges(HostList list, Asked asked) {
-        boolean namesChange = !list.hosts().isEmpty() || !list.unfit().isEmpty();
-        if (list.seq() < asked.version()) {
-            return namesChange ? Verdict.OLDER : Verdict.BEHIND;
+    private Disposition classifyChanges(HostList list, RequestState atRequest) {
+        boolean hasEntries = !list.hosts().isEmpty() || !list.unfit().isEmpty();
+        if (list.seq() < atRequest.version()) {
+            return hasEntries ? Disposition.OLDER : Disposition.BEHIND;
         }
-        if (asked.version() < version && list.seq() <= version) {
-            return Verdict.OVERTAKEN;
+        if (atRequest.version() < version && list.seq() <= version) {
+            return Disposition.SUPERSEDED;
         }
-        if (namesChange) {
-            return Verdict.TAKE;
+        if (hasEntries) {
+            return Disposition.APPLY;
         }
-        return list.seq() > asked.version() ? Verdict.EMPTY_ADVANCE : Verdict.NOTHING_NEW;
+        return list.seq() > atRequest.version() ? Disposition.EMPTY_ADVANCE : Disposition.UNCHANGED;
     }
 
     /** The list has been taken in by everyone who needs it. */
-    void taken(HostList list, Asked asked) {
-        numbering += list.seq() < version ? 1 : 0;
+    void applied(HostList list, RequestState atRequest) {
+        epoch += list.seq() < version ? 1 : 0;
         version = list.seq();
         sawOlder = false;
         if (list.whole()) {
-            wholeWishesMet = Math.max(wholeWishesMet, asked.wholeWishes());
+            wholeListRequestsMet = Math.max(wholeListRequestsMet, atRequest.wholeListRequests());
         }
     }
 
@@ -115,12 +115,12 @@
     /** A list without a change moved the version on. */
     void advanced(HostList list) {
         version = Math.max(version, list.seq());
-        wantWhole();
+        requestWholeList();
     }
 
     /** A list was older than the one in force, or behind what it was asked from. */
     void sawOlder() {
         sawOlder = true;
-        wantWhole();
+        requestWholeList();
     }
 }
--- a/pooler/src/main/java/holdmux/discovery/Watch.java
+++ b/pooler/src/main/java/holdmux/discovery/Watch.java
@@ -23,41 +23,41 @@
  */
 public final class Watch implements Runnable, DiscoveryCall.Listener {
     /** Calls that are listened to at once. */
-    private static final int MOST_CALLS = 4;
+    private static final int MAX_CALLS = 4;
     /** Failures between log lines: one line in some seconds of silence. */
     private static final int LOG_EVERY = 10;
     /** A silence of discovery that is longer than any single lost call explains. */
     private static final long LONG_SILENCE_MS = 5_000;
     /** An agent that answers watches at once without news is not asked more often than this; a watch goes on within 200 ms. */
-    private static final long LEAST_TURN_MS = 100;
+    private static final long MIN_CALL_INTERVAL_MS = 100;
     private final Counters counters;
-    private final BooleanSupplier mustAsk;
-    private final ListListener lists;
+    private final BooleanSupplier mustSubscribe;
+    private final ListListener listener;
     private final SplittableRandom random;
     // all that follows under this object's monitor
     /** Where the agent is now, and whether it has not answered since it was named. */
     private InetSocketAddress agent;
-    private boolean moved;
+    private boolean awaitingNewAgent;
     /** Another address that the agent may have, called in turns until one has answered; null for none. */
     private InetSocketAddress alternative;
     private final ListVersions versions;
-    private final WholeListSchedule wholeLists;
+    private final WholeListSchedule wholeListSchedule;
     /** The calls that are listened to, the oldest first, and the one that is expected to answer; null for none. */
     private final List<DiscoveryCall> calls = new ArrayList<>();
     private DiscoveryCall current;
     /** On {@link System#nanoTime}: when the current call is overdue, or the next one is made where there is none. */
-    private long due;
+    private long dueAt;
     /** When the current call was made, or the last one that was. */
-    private long turnBegan;
+    private long callStartedAt;
     /** When a call was last answered, and the longest time between two answers so far. */
     private long answeredAt;
     private long longestUnconfirmedMs;
     private final ListTrust trust = new ListTrust();
-    private long lastQuery;
+    private long lastQueryNumber;
     /** Whether the next call begins a watch, as the first one and all behind a failure do. */
-    private boolean begins = true;
+    private boolean startsWatch = true;
     private int failures;
-    private long lastNumber;
+    private long lastCallNumber;
 
     /**
      * A watch that is not running yet.
@@ -66,32 +66,32 @@
      * @param mustAsk whether discovery tells changes only when it is asked, rather than pushing them to its agents
      * @param lists takes in each further list, in order
      */
-    public Watch(Agents agents, HostList known, BooleanSupplier mustAsk, long seed, Counters counters, ListListener lists) {
+    public Watch(AgentAddresses agents, HostList cachedList, BooleanSupplier mustSubscribe, long seed, Counters counters, ListListener listener) {
         agent = agents.first();
         alternative = agents.alternative();
         this.counters = counters;
-        this.mustAsk = mustAsk;
-        this.lists = lists;
-        versions = new ListVersions(known);
-        if (!mustAsk.getAsBoolean()) {
-            versions.wantWhole(); // the agent is on this machine, and may have counted anew since the known list
+        this.mustSubscribe = mustSubscribe;
+        this.listener = listener;
+        versions = new ListVersions(cachedList);
+        if (!mustSubscribe.getAsBoolean()) {
+            versions.requestWholeList(); // the agent is on this machine, and may have counted anew since the known list
         }
         random = new SplittableRandom(seed);
-        wholeLists = new WholeListSchedule(new SplittableRandom(~seed).nextDouble(), nowMs());
+        wholeListSchedule = new WholeListSchedule(new SplittableRandom(~seed).nextDouble(), nowMs());
         answeredAt = System.nanoTime();
-        due = answeredAt;
-        counters.show("list_version", () -> Long.toString(version()));
-        counters.show("list_confirmed_ms_ago", () -> Long.toString(confirmedMsAgo()));
-        counters.show("list_longest_unconfirmed_ms", () -> Long.toString(longestUnconfirmedMs()));
-        counters.show("list_trusted", () -> Boolean.toString(isTrusted()));
-        counters.show("discovery_agent", () -> agent().toString());
+        dueAt = answeredAt;
+        counters.addStat("list_version", () -> Long.toString(version()));
+        counters.addStat("list_confirmed_ms_ago", () -> Long.toString(confirmedMsAgo()));
+        counters.addStat("list_longest_unconfirmed_ms", () -> Long.toString(longestUnconfirmedMs()));
+        counters.addStat("list_trusted", () -> Boolean.toString(isTrusted()));
+        counters.addStat("discovery_agent", () -> agent().toString());
     }
 
     @Override
     public void run() {
         while (true) {
             try {
-                turn();
+                runNext();
             } catch (InterruptedException e) {
                 throw new IllegalStateException("nothing interrupts this thread", e);
             }
@@ -99,17 +99,17 @@
     }
 
     /** Waits for what is due, and does it. */
-    private synchronized void turn() throws InterruptedException {
+    private synchronized void runNext() throws InterruptedException {
         long now = System.nanoTime();
-        long left = trust.isAtRisk() ? Math.min(due - now, trust.leftNs(now)) : due - now;
-        if (left > 0) {
-            wait(Clock.millisUp(left));
-        } else if (trust.isAtRisk() && trust.leftNs(now) <= 0) {
+        long remaining = trust.isAtRisk() ? Math.min(dueAt - now, trust.remainingNs(now)) : dueAt - now;
+        if (remaining > 0) {
+            wait(Clock.ceilMillis(remaining));
+        } else if (trust.isAtRisk() && trust.remainingNs(now) <= 0) {
             distrust();
         } else if (current != null) {
-            overdue();
+            handleOverdue();
         } else {
-            begin();
+            startCall();
         }
     }
 
@@ -117,14 +117,14 @@
      * Follows the list at another address from now on. The old agent's calls are listened to until the new one has
      * answered: what it has still to tell is newer than what was told.
      */
-    public synchronized void moveTo(InetSocketAddress to) {
-        if (!to.equals(agent)) {
-            agent = to;
+    public synchronized void moveTo(InetSocketAddress newAgent) {
+        if (!newAgent.equals(agent)) {
+            agent = newAgent;
             alternative = null;
-            moved = true;
-            versions.wantWhole();
-            Log.info("discovery moves to " + to + ", version " + versions.version() + " in force");
-            next(0);
+            awaitingNewAgent = true;
+            versions.requestWholeList();
+            Log.info("discovery moves to " + newAgent + ", version " + versions.version() + " in force");
+            scheduleNext(0);
         }
     }
 
@@ -154,54 +154,54 @@
     }
 
     private CallSchedule schedule() {
-        return CallSchedule.of(mustAsk.getAsBoolean());
+        return CallSchedule.of(mustSubscribe.getAsBoolean());
     }
 
     /** There is no current call any more; the next one, which begins a watch, is made after this pause. */
-    private void next(long afterMs) {
+    private void scheduleNext(long delayMs) {
         current = null;
-        begins = true;
-        due = System.nanoTime() + afterMs * Clock.MS;
+        startsWatch = true;
+        dueAt = System.nanoTime() + delayMs * Clock.MS;
         notifyAll();
     }
 
     /** Makes a call on a connection of its own. */
-    private void begin() {
-        while (calls.size() >= MOST_CALLS) {
+    private void startCall() {
+        while (calls.size() >= MAX_CALLS) {
             calls.remove(1).close(); // not the oldest: for a discovery slower than all the others wait it is the one hope
         }
-        DiscoveryCall call = new DiscoveryCall(++lastNumber, agent, query(0), this);
+        DiscoveryCall call = new DiscoveryCall(++lastCallNumber, agent, nextQuery(0), this);
         try {
-            expect(call, 0);
+            expectAnswer(call, 0);
             calls.add(call);
             counters.count(Counter.WATCH_CALLS);
-            Workers.thread("discovery call", call).start();
+            Workers.newThread("discovery call", call).start();
         } catch (OutOfMemoryError e) { // no thread to be had now
             calls.remove(call);
-            failedCurrent("discovery cannot be called: ", e, call);
+            currentCallFailed("discovery cannot be called: ", e, call);
         }
     }
 
-    private Query query(long pauseMs) {
-        lastQuery++;
-        if (wholeLists.isDue(nowMs())) {
-            wholeLists.asked(nowMs());
-            versions.wantWhole();
+    private Query nextQuery(long delayMs) {
+        lastQueryNumber++;
+        if (wholeListSchedule.isDue(nowMs())) {
+            wholeListSchedule.requested(nowMs());
+            versions.requestWholeList();
         }
-        if (versions.wholeWanted()) {
+        if (versions.needsWholeList()) {
             counters.count(Counter.WHOLE_LISTS_ASKED);
-            return new Query("", pauseMs, lastQuery, versions.asked());
+            return new Query("", delayMs, lastQueryNumber, versions.requestState());
         }
-        int holdMs = schedule().holdMs(begins, failures);
-        return new Query("?from=" + versions.version() + "&hold_ms=" + holdMs, pauseMs, lastQuery,
-                versions.asked());
+        int holdMs = schedule().holdMs(startsWatch, failures);
+        return new Query("?from=" + versions.version() + "&hold_ms=" + holdMs, delayMs, lastQueryNumber,
+                versions.requestState());
     }
 
-    private void expect(DiscoveryCall call, long pauseMs) {
+    private void expectAnswer(DiscoveryCall call, long delayMs) {
         current = call;
-        turnBegan = System.nanoTime() + pauseMs * Clock.MS;
-        int patienceMs = schedule().patienceMs(begins, moved ? Math.max(1, failures) : failures);
-        due = System.nanoTime() + (pauseMs + patienceMs) * Clock.MS;
+        callStartedAt = System.nanoTime() + delayMs * Clock.MS;
+        int timeoutMs = schedule().timeoutMs(startsWatch, awaitingNewAgent ? Math.max(1, failures) : failures);
+        dueAt = System.nanoTime() + (delayMs + timeoutMs) * Clock.MS;
     }
 
     private void distrust() {
@@ -209,21 +209,21 @@
         counters.count(Counter.LISTS_DISTRUSTED);
         Log.warn("discovery's answers cannot be read: requests are refused until one can, version " + versions.version()
                 + " in force");
-        lists.distrusted();
+        listener.distrusted();
     }
 
-    private void unreadable() {
-        trust.unreadable(lastQuery, System.nanoTime());
+    private void markUnreadable() {
+        trust.markUnreadable(lastQueryNumber, System.nanoTime());
         notifyAll();
     }
 
     /** The current call has not been answered in time: it is listened to further, and another one is made. */
-    private void overdue() {
+    private void handleOverdue() {
         counters.count(Counter.WATCH_OVERDUE);
-        if (current.isWithinAnswer()) {
-            unreadable();
+        if (current.hasPartialResponse()) {
+            markUnreadable();
         }
-        failedCurrent("discovery does not answer: ", "no answer in time", current);
+        currentCallFailed("discovery does not answer: ", "no answer in time", current);
     }
 
     @Override
@@ -233,66 +233,66 @@
         }
         if (response.status() != 200) {
             if (response.status() < 500) {
-                versions.wantWhole(); // our version may be one that discovery no longer knows
+                versions.requestWholeList(); // our version may be one that discovery no longer knows
             }
             throw new IOException("status " + response.status());
         }
         HostList list = HostList.decode(response.body());
-        take(list, call);
-        answeredBy(call, list.whole());
-        endBefore(call);
-        return goOn(call, response.keepAlive(), list);
+        apply(list, call);
+        recordAnswer(call, list.whole());
+        closeOlderThan(call);
+        return continueOnConnection(call, response.keepAlive(), list);
     }
 
     /** Notes that a call was answered with a list that could be used. */
-    private void answeredBy(DiscoveryCall call, boolean whole) {
+    private void recordAnswer(DiscoveryCall call, boolean whole) {
         long silentMs = confirmedMsAgo();
         longestUnconfirmedMs = Math.max(longestUnconfirmedMs, silentMs);
         answeredAt = System.nanoTime();
         if (silentMs > LONG_SILENCE_MS) {
             counters.count(Counter.LONG_SILENCES);
             if (!whole) {
-                wholeLists.doubted(nowMs()); // whoever answers now may be another agent than before
+                wholeListSchedule.requestSoon(nowMs()); // whoever answers now may be another agent than before
             }
         }
         if (failures > 0) {
             Log.info("discovery answers again after " + failures + " failed calls and " + silentMs + " ms");
             failures = 0;
         }
-        trust.readable(call.query().number());
-        if (!isInDoubt() && trust.trust()) {
+        trust.markReadable(call.query().number());
+        if (!isWholeListDue() && trust.tryTrust()) {
             agent = alternative == null ? agent : call.agent();
             alternative = null;
-            lists.confirmed();
+            listener.confirmed();
             Log.info("discovery call " + call.number() + " to " + call.agent() + " confirms version " + versions.version());
         }
     }
 
     /** Whether the whole list is to be asked for since the one in force may lack something. */
-    private boolean isInDoubt() {
-        return versions.wholeWanted() || wholeLists.isDue(nowMs());
+    private boolean isWholeListDue() {
+        return versions.needsWholeList() || wholeListSchedule.isDue(nowMs());
     }
 
-    private void take(HostList list, DiscoveryCall call) {
-        ListVersions.Asked asked = call.query().asked();
-        switch (versions.judge(list, asked)) {
-            case TAKE -> {
-                lists.changed(list);
-                versions.taken(list, asked); // not before: what could not be taken in is asked for again
+    private void apply(HostList list, DiscoveryCall call) {
+        ListVersions.RequestState atRequest = call.query().atRequest();
+        switch (versions.classify(list, atRequest)) {
+            case APPLY -> {
+                listener.changed(list);
+                versions.applied(list, atRequest); // not before: what could not be taken in is asked for again
                 Log.info("discovery call " + call.number() + ": " + list.describe());
                 checkEntries(list);
             }
-            case NOTHING_NEW -> versions.confirmed();
-            case OVERTAKEN -> { }
+            case UNCHANGED -> versions.confirmed();
+            case SUPERSEDED -> { }
             case EMPTY_ADVANCE -> {
                 counters.count(Counter.EMPTY_ADVANCES);
                 Log.warn("discovery call " + call.number() + ": version " + list.seq() + " names no change since "
-                        + asked.version() + ", the whole list is asked for");
+                        + atRequest.version() + ", the whole list is asked for");
                 versions.advanced(list);
             }
             case BEHIND -> {
                 counters.count(Counter.ANSWERS_BEHIND);
-                Log.warn("discovery call " + call.number() + ": version " + list.seq() + " where " + asked.version()
+                Log.warn("discovery call " + call.number() + ": version " + list.seq() + " where " + atRequest.version()
                         + " was asked from, the whole list is asked for");
                 versions.sawOlder();
             }
@@ -312,14 +312,14 @@
             Log.warn("discovery's list " + list.seq() + " has entries that cannot be used: " + list.unfit());
         }
         if (list.whole()) {
-            wholeLists.taken(faulty, nowMs());
+            wholeListSchedule.applied(faulty, nowMs());
         } else if (faulty) {
-            wholeLists.doubted(nowMs());
+            wholeListSchedule.requestSoon(nowMs());
         }
     }
 
     /** Calls made before one that has been answered have nothing to add. */
-    private void endBefore(DiscoveryCall answered) {
+    private void closeOlderThan(DiscoveryCall answered) {
         while (calls.get(0) != answered) {
             DiscoveryCall call = calls.remove(0);
             call.close();
@@ -328,23 +328,23 @@
     }
 
     /** The next query on the connection of a call that was answered; null where it ends. */
-    private Query goOn(DiscoveryCall call, boolean keepAlive, HostList list) {
-        boolean stays = call.agent().equals(agent);
-        moved &= !stays;
-        boolean needed = stays && (current == null || current == call);
-        boolean news = list.seq() > call.query().asked().version() || versions.wholeWanted();
-        long pauseMs = news ? 0 : Math.max(0, LEAST_TURN_MS - (System.nanoTime() - turnBegan) / Clock.MS);
+    private Query continueOnConnection(DiscoveryCall call, boolean keepAlive, HostList list) {
+        boolean sameAgent = call.agent().equals(agent);
+        awaitingNewAgent &= !sameAgent;
+        boolean needed = sameAgent && (current == null || current == call);
+        boolean immediate = list.seq() > call.query().atRequest().version() || versions.needsWholeList();
+        long delayMs = immediate ? 0 : Math.max(0, MIN_CALL_INTERVAL_MS - (System.nanoTime() - callStartedAt) / Clock.MS);
         if (!needed || !keepAlive) {
             calls.remove(call);
             if (needed) {
-                next(pauseMs);
-                begins = list.whole(); // a whole list is no watch yet
+                scheduleNext(delayMs);
+                startsWatch = list.whole(); // a whole list is no watch yet
             }
             return null;
         }
-        begins = list.whole();
-        Query query = query(pauseMs);
-        expect(call, pauseMs);
+        startsWatch = list.whole();
+        Query query = nextQuery(delayMs);
+        expectAnswer(call, delayMs);
         notifyAll();
         return query;
     }
@@ -354,36 +354,36 @@
         if (!calls.remove(call)) {
             return; // closed here
         }
-        boolean unfit = cause instanceof ConfigException || cause instanceof HttpResponse.TooLongException;
-        if (unfit) {
+        boolean unusable = cause instanceof ConfigException || cause instanceof HttpResponse.TooLongException;
+        if (unusable) {
             counters.count(Counter.LISTS_REFUSED);
-            versions.wantWhole();
+            versions.requestWholeList();
         }
-        boolean takenInVain = !(cause instanceof IOException); // by a fault of ours, or of what it told
-        if (unfit || takenInVain || call.isWithinAnswer()) {
-            unreadable();
+        boolean applyFailed = !(cause instanceof IOException); // by a fault of ours, or of what it told
+        if (unusable || applyFailed || call.hasPartialResponse()) {
+            markUnreadable();
         }
         if (call == current) {
-            failedCurrent(unfit ? "discovery's list cannot be used, the last one stays: " : "discovery does not answer: ",
+            currentCallFailed(unusable ? "discovery's list cannot be used, the last one stays: " : "discovery does not answer: ",
                     cause, call);
         }
     }
 
-    private void failedCurrent(String what, Object cause, DiscoveryCall call) {
-        boolean refused = cause instanceof ConfigException || cause instanceof HttpResponse.TooLongException;
-        if (!refused) {
+    private void currentCallFailed(String prefix, Object cause, DiscoveryCall call) {
+        boolean unusable = cause instanceof ConfigException || cause instanceof HttpResponse.TooLongException;
+        if (!unusable) {
             counters.count(Counter.WATCH_FAILURES);
         }
         if (failures++ % LOG_EVERY == 0) {
-            String words = cause instanceof Exception e ? e.getMessage() : cause.toString();
-            Log.warn(what + words + " (call " + call.number() + " to " + call.agent() + ", version "
+            String detail = cause instanceof Exception e ? e.getMessage() : cause.toString();
+            Log.warn(prefix + detail + " (call " + call.number() + " to " + call.agent() + ", version "
                     + versions.version() + " in force, " + failures + " failed)");
         }
         if (alternative != null) {
-            InetSocketAddress failed = agent;
+            InetSocketAddress failedAgent = agent;
             agent = alternative;
-            alternative = failed;
+            alternative = failedAgent;
         }
-        next(schedule().pauseMs(failures, random));
+        scheduleNext(schedule().backoffMs(failures, random));
     }
 }
