--- a/pooler/src/main/java/holdmux/discovery/WholeListSchedule.java
+++ b/pooler/src/main/java/holdmux/discovery/WholeListSchedule.java
@@ -7,22 +7,22 @@
  */
 final class WholeListSchedule {
     /** The longest time between two whole lists; each pooler adds a part of its own, so that not all ask at one moment. */
-    private static final long REGULAR_MS = 60_000, SPREAD_MS = 15_000;
+    private static final long INTERVAL_MS = 60_000, JITTER_MS = 15_000;
     /** Between two whole lists asked for in doubt. */
-    private static final long LEAST_GAP_MS = 250;
+    private static final long MIN_INTERVAL_MS = 250;
     /** The first wait for a whole list that had entries which cannot be read, and the longest: it is doubled each time. */
-    private static final long FAULTY_FIRST_MS = 500, FAULTY_LONGEST_MS = 30_000;
+    private static final long FAULTY_INITIAL_MS = 500, FAULTY_MAX_MS = 30_000;
 
-    private final long regularMs;
-    private long lastAt;
+    private final long intervalMs;
+    private long lastAppliedAt;
     private long dueAt;
-    private long faultyWaitMs = FAULTY_FIRST_MS;
+    private long faultyWaitMs = FAULTY_INITIAL_MS;
 
     /** {@code spread}: a number from 0 to 1 of this process's own. */
-    WholeListSchedule(double spread, long nowMs) {
-        regularMs = REGULAR_MS - (long) (spread * SPREAD_MS);
-        lastAt = nowMs - LEAST_GAP_MS;
-        dueAt = nowMs + regularMs;
+    WholeListSchedule(double jitter, long nowMs) {
+        intervalMs = INTERVAL_MS - (long) (jitter * JITTER_MS);
+        lastAppliedAt = nowMs - MIN_INTERVAL_MS;
+        dueAt = nowMs + intervalMs;
     }
 
     boolean isDue(long nowMs) {
@@ -30,24 +30,24 @@
     }
 
     /** The whole list is being asked for. */
-    void asked(long nowMs) {
-        dueAt = nowMs + regularMs;
+    void requested(long nowMs) {
+        dueAt = nowMs + intervalMs;
     }
 
     /** An answer may have hidden a change. */
-    void doubted(long nowMs) {
-        dueAt = Math.min(dueAt, Math.max(nowMs, lastAt + LEAST_GAP_MS));
+    void requestSoon(long nowMs) {
+        dueAt = Math.min(dueAt, Math.max(nowMs, lastAppliedAt + MIN_INTERVAL_MS));
     }
 
     /** A whole list was taken in; {@code faulty}: it has entries that cannot be read. */
-    void taken(boolean faulty, long nowMs) {
-        lastAt = nowMs;
+    void applied(boolean faulty, long nowMs) {
+        lastAppliedAt = nowMs;
         if (faulty) {
             dueAt = nowMs + faultyWaitMs;
-            faultyWaitMs = Math.min(2 * faultyWaitMs, FAULTY_LONGEST_MS);
+            faultyWaitMs = Math.min(2 * faultyWaitMs, FAULTY_MAX_MS);
         } else {
-            dueAt = nowMs + regularMs;
-            faultyWaitMs = FAULTY_FIRST_MS;
+            dueAt = nowMs + intervalMs;
+            faultyWaitMs = FAULTY_INITIAL_MS;
         }
     }
 }
--- a/pooler/src/main/java/holdmux/management/ManagementServer.java
+++ b/pooler/src/main/java/holdmux/management/ManagementServer.java
@@ -3,7 +3,7 @@
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Log;
-import holdmux.core.TimedInput;
+import holdmux.core.DeadlineInputStream;
 import holdmux.core.Workers;
 import holdmux.discovery.HttpHead;
 import java.io.BufferedInputStream;
@@ -25,17 +25,17 @@
  */
 public final class ManagementServer implements Runnable {
     /** Calls at once: a few operators and their scripts. Part of the descriptors kept spare. */
-    private static final int MOST_CALLS = 16;
+    private static final int MAX_CALLS = 16;
     /** A call must be whole within this; its caller waits 1 s. */
-    private static final int CALL_MS = 2_000;
+    private static final int CALL_TIMEOUT_MS = 2_000;
     /** How long a caller is waited for that does not close by itself behind its answer. */
     private static final int LINGER_MS = 100;
     /** After a failed accept or bind: soon enough for an operator. */
-    private static final int AGAIN_MS = 200;
+    private static final int RETRY_DELAY_MS = 200;
     /** No call needs a body; one within this is read and passed over, so that the answer is not cut off by it. */
-    private static final int MOST_BODY = 65_536;
+    private static final int MAX_BODY = 65_536;
 
-    private record Result(int status, String words) {}
+    private record Result(int status, String message) {}
 
     private final InetSocketAddress address;
     private final Operations operations;
@@ -52,20 +52,20 @@
     /** Listens for ever; an address that is still taken, by the process before this one, is tried again. */
     @Override
     public void run() {
-        boolean told = false;
+        boolean warned = false;
         while (true) {
             try (ServerSocket server = new ServerSocket()) {
                 server.setReuseAddress(true);
                 server.bind(address);
                 Log.info("management at " + address);
                 while (true) {
-                    begin(server.accept());
+                    startCall(server.accept());
                 }
             } catch (IOException e) {
-                if (!told) {
+                if (!warned) {
                     Log.warn("management cannot listen at " + address + ": " + e.getMessage());
                 }
-                told = true;
+                warned = true;
                 pause();
             }
         }
@@ -73,35 +73,35 @@
 
     private static void pause() {
         try {
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(RETRY_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void begin(Socket socket) {
+    private void startCall(Socket socket) {
         Socket oldest = null;
         synchronized (calls) {
             calls.add(socket);
-            if (calls.size() > MOST_CALLS) {
+            if (calls.size() > MAX_CALLS) {
                 oldest = calls.iterator().next();
                 calls.remove(oldest);
             }
         }
         close(oldest);
         try {
-            Workers.thread("management call", () -> call(socket)).start();
+            Workers.newThread("management call", () -> handle(socket)).start();
         } catch (OutOfMemoryError e) {
-            end(socket); // no thread to be had: the caller may try again
+            finish(socket); // no thread to be had: the caller may try again
         }
     }
 
-    private void call(Socket socket) {
+    private void handle(Socket socket) {
         try {
             socket.setTcpNoDelay(true);
-            Result result = heard(new BufferedInputStream(new TimedInput(socket, CALL_MS)));
+            Result result = readAndExecute(new BufferedInputStream(new DeadlineInputStream(socket, CALL_TIMEOUT_MS)));
             counters.count(result.status < 300 ? Counter.MANAGEMENT_CALLS : Counter.MANAGEMENT_REFUSED);
-            String body = "{\"status\":\"" + result.words + "\"}\n";
+            String body = "{\"status\":\"" + result.message + "\"}\n";
             socket.getOutputStream().write(("HTTP/1.1 " + result.status + " " + reason(result.status)
                     + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                     + "\r\nConnection: close\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
@@ -109,17 +109,17 @@
         } catch (IOException e) {
             counters.count(Counter.MANAGEMENT_REFUSED); // the caller has gone, or never finished its call
         } finally {
-            end(socket);
+            finish(socket);
         }
     }
 
     /** Ends the output and reads out what is left of a call that was refused: a close over it would take the answer along. */
     private static void linger(Socket socket) {
-        byte[] sink = new byte[1_024];
+        byte[] discarded = new byte[1_024];
         try {
             socket.shutdownOutput();
-            InputStream rest = new TimedInput(socket, LINGER_MS);
-            while (rest.read(sink) >= 0) {
+            InputStream rest = new DeadlineInputStream(socket, LINGER_MS);
+            while (rest.read(discarded) >= 0) {
                 // dropped
             }
         } catch (IOException e) {
@@ -127,19 +127,19 @@
         }
     }
 
-    private Result heard(InputStream in) throws IOException {
+    private Result readAndExecute(InputStream in) throws IOException {
         try {
             HttpHead head = HttpHead.read(in);
-            String[] parts = head.first().split(" ");
+            String[] parts = head.startLine().split(" ");
             if (parts.length != 3 || !parts[2].matches("HTTP/1\\.[01]")) {
                 return new Result(400, "not an HTTP/1.1 call");
             }
             long body = Math.max(0, head.contentLength());
-            if (body > MOST_BODY || head.headers().containsKey("transfer-encoding")) {
+            if (body > MAX_BODY || head.headers().containsKey("transfer-encoding")) {
                 return new Result(413, "no body is wanted");
             }
             in.skipNBytes(body);
-            return answer(parts[0], path(parts[1]));
+            return execute(parts[0], path(parts[1]));
         } catch (SocketTimeoutException e) {
             return new Result(408, "the call was not whole in time");
         } catch (IOException | URISyntaxException e) {
@@ -152,24 +152,24 @@
         return path == null ? "" : path;
     }
 
-    private Result answer(String method, String path) {
-        String[] names = path.split("/", -1);
-        String what = names.length >= 3 && names[0].isEmpty() && names[1].equals("api") ? names[2] : "";
-        String server = names.length == 4 ? names[3] : "";
-        boolean onServer = what.equals("exclude") || what.equals("include");
-        boolean known = what.equals("ready") || onServer || what.equals("evacuate") || what.equals("rejoin");
-        if (!known || names.length != (onServer ? 4 : 3)) {
+    private Result execute(String method, String path) {
+        String[] segments = path.split("/", -1);
+        String operation = segments.length >= 3 && segments[0].isEmpty() && segments[1].equals("api") ? segments[2] : "";
+        String server = segments.length == 4 ? segments[3] : "";
+        boolean namesServer = operation.equals("exclude") || operation.equals("include");
+        boolean knownOperation = operation.equals("ready") || namesServer || operation.equals("evacuate") || operation.equals("rejoin");
+        if (!knownOperation || segments.length != (namesServer ? 4 : 3)) {
             return new Result(404, "no such call");
         }
-        if (!method.equals(what.equals("ready") ? "GET" : "PUT")) {
+        if (!method.equals(operation.equals("ready") ? "GET" : "PUT")) {
             return new Result(405, "another method is wanted");
         }
         try {
-            return switch (what) {
+            return switch (operation) {
                 case "ready" -> operations.ready() ? new Result(200, "ready") : new Result(503, "not ready");
                 case "exclude" -> done(operations.exclude(server));
                 case "include" -> done(operations.include(server));
-                default -> done(operations.evacuate(what.equals("evacuate")));
+                default -> done(operations.evacuate(operation.equals("evacuate")));
             };
         } catch (IOException | RuntimeException e) {
             Log.error("an operators' order could not be kept", e);
@@ -177,8 +177,8 @@
         }
     }
 
-    private static Result done(boolean yes) {
-        return yes ? new Result(200, "done") : new Result(404, "no such server");
+    private static Result done(boolean found) {
+        return found ? new Result(200, "done") : new Result(404, "no such server");
     }
 
     private static String reason(int status) {
@@ -194,7 +194,7 @@
         };
     }
 
-    private void end(Socket socket) {
+    private void finish(Socket socket) {
         synchronized (calls) {
             calls.remove(socket);
         }
--- a/pooler/src/main/java/holdmux/management/Operations.java
+++ b/pooler/src/main/java/holdmux/management/Operations.java
@@ -11,25 +11,25 @@
 /** What the operators may ask for. An order is kept and in force before its yes. */
 public final class Operations {
     private final OperatorState state;
-    private final Predicate<String> known;
+    private final Predicate<String> isListed;
     private final BooleanSupplier ready;
-    private final Consumer<Orders> inForce;
-    private final Runnable tellPeer;
+    private final Consumer<Orders> applyOrders;
+    private final Runnable notifyPeer;
     private final LongSupplier unixMs;
 
     /**
      * {@code known}: whether there is a server of this name; {@code inForce} puts orders in force here, and
      * {@code tellPeer} in the other process of this pooler, both before they return.
      */
-    public Operations(OperatorState state, Predicate<String> known, BooleanSupplier ready, Consumer<Orders> inForce,
-            Runnable tellPeer, LongSupplier unixMs) {
+    public Operations(OperatorState state, Predicate<String> isListed, BooleanSupplier ready, Consumer<Orders> applyOrders,
+            Runnable notifyPeer, LongSupplier unixMs) {
         this.state = state;
-        this.known = known;
+        this.isListed = isListed;
         this.ready = ready;
-        this.inForce = inForce;
-        this.tellPeer = tellPeer;
+        this.applyOrders = applyOrders;
+        this.notifyPeer = notifyPeer;
         this.unixMs = unixMs;
-        inForce.accept(state.orders());
+        applyOrders.accept(state.orders());
     }
 
     boolean ready() {
@@ -38,32 +38,32 @@
 
     /** False for a server that nobody has heard of. */
     boolean exclude(String server) throws IOException {
-        return of(server) && order("server " + server + " is left out", o -> o.exclude(server, unixMs.getAsLong()));
+        return isKnown(server) && change("server " + server + " is left out", o -> o.exclude(server, unixMs.getAsLong()));
     }
 
     boolean include(String server) throws IOException {
-        return of(server) && order("server " + server + " is put back", o -> o.include(server));
+        return isKnown(server) && change("server " + server + " is put back", o -> o.include(server));
     }
 
-    boolean evacuate(boolean yes) throws IOException {
-        return order(yes ? "clients are sent away" : "clients are welcome again", o -> o.evacuate(yes));
+    boolean evacuate(boolean evacuated) throws IOException {
+        return change(evacuated ? "clients are sent away" : "clients are welcome again", o -> o.evacuate(evacuated));
     }
 
     /** Takes up what the other process of this pooler was ordered. */
     public synchronized void refresh() {
-        inForce.accept(state.refresh());
+        applyOrders.accept(state.refresh());
     }
 
-    private boolean of(String server) {
-        return known.test(server) || state.orders().excluded().containsKey(server);
+    private boolean isKnown(String server) {
+        return isListed.test(server) || state.orders().excluded().containsKey(server);
     }
 
-    private boolean order(String words, UnaryOperator<Orders> change) throws IOException {
+    private boolean change(String description, UnaryOperator<Orders> update) throws IOException {
         synchronized (this) {
-            inForce.accept(state.change(change));
+            applyOrders.accept(state.change(update));
         }
-        tellPeer.run();
-        Log.info("operators: " + words);
+        notifyPeer.run();
+        Log.info("operators: " + description);
         return true;
     }
 }
--- a/pooler/src/main/java/holdmux/management/OperatorState.java
+++ b/pooler/src/main/java/holdmux/management/OperatorState.java
@@ -12,5 +12,5 @@
     Orders refresh();
 
     /** Changes the orders as kept now; returns once the change is kept, and throws with nothing changed. */
-    Orders change(UnaryOperator<Orders> by) throws IOException;
+    Orders change(UnaryOperator<Orders> update) throws IOException;
 }
--- a/pooler/src/main/java/holdmux/management/Orders.java
+++ b/pooler/src/main/java/holdmux/management/Orders.java
@@ -24,8 +24,8 @@
         return new Orders(next, evacuated);
     }
 
-    Orders evacuate(boolean yes) {
-        return new Orders(excluded, yes);
+    Orders evacuate(boolean newEvacuated) {
+        return new Orders(excluded, newEvacuated);
     }
 
     String encode() {
@@ -34,10 +34,10 @@
 
     /** What is not in this form is a {@link JSONException}. */
     static Orders decode(String text) {
-        JSONObject all = new JSONObject(text);
-        JSONObject servers = all.getJSONObject("excluded");
+        JSONObject root = new JSONObject(text);
+        JSONObject servers = root.getJSONObject("excluded");
         Map<String, Long> excluded = new TreeMap<>();
         servers.keySet().forEach(server -> excluded.put(server, servers.getLong(server)));
-        return new Orders(excluded, all.getBoolean("evacuated"));
+        return new Orders(excluded, root.getBoolean("evacuated"));
     }
 }
--- a/pooler/src/main/java/holdmux/management/StateFile.java
+++ b/pooler/src/main/java/holdmux/management/StateFile.java
@@ -19,7 +19,7 @@
  */
 public final class StateFile implements OperatorState {
     /** Orders for a fleet of twenty take 1 KiB; this is room for thousands. */
-    private static final long MOST_BYTES = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
     /** Null where there is no folder to keep it in: then the orders last as long as the process. */
     private final Path file;
@@ -42,17 +42,17 @@
     }
 
     @Override
-    public synchronized Orders change(UnaryOperator<Orders> by) throws IOException {
+    public synchronized Orders change(UnaryOperator<Orders> update) throws IOException {
         if (file == null) {
-            orders = by.apply(orders);
+            orders = update.apply(orders);
             return orders;
         }
         try (FileChannel lock = FileChannel.open(file.resolveSibling(file.getFileName() + ".lock"),
                 StandardOpenOption.CREATE, StandardOpenOption.WRITE); FileLock held = lock.lock()) {
-            Orders next = by.apply(read());
-            Path whole = file.resolveSibling(file.getFileName() + ".new");
-            write(whole, next.encode());
-            Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE);
+            Orders next = update.apply(read());
+            Path temporary = file.resolveSibling(file.getFileName() + ".new");
+            write(temporary, next.encode());
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
             orders = next;
             return next;
         }
@@ -75,8 +75,8 @@
             return Orders.NONE;
         }
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException("over " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new IOException("over " + MAX_BYTES + " bytes");
             }
             return Orders.decode(Files.readString(file));
         } catch (IOException | JSONException e) {
--- a/pooler/src/main/java/holdmux/pg/ClientInput.java
+++ b/pooler/src/main/java/holdmux/pg/ClientInput.java
@@ -1,7 +1,7 @@
 package holdmux.pg;
 
 import holdmux.core.Clock;
-import holdmux.core.TimedInput;
+import holdmux.core.DeadlineInputStream;
 import holdmux.statement.SqlState;
 import java.io.EOFException;
 import java.io.IOException;
@@ -13,18 +13,18 @@
 /** What a client sends: waits for ever between messages, but only so long for the rest of one that has begun. */
 final class ClientInput {
     /** Holds a usual read of some 110 bytes whole, so that it takes one call to the system. */
-    private static final int AHEAD = 512;
+    private static final int READ_AHEAD_BYTES = 512;
     /** What is dropped at once, and the pause behind it: 8 MiB/s, in which a flood of 1 MiB is over before it is missed. */
-    private static final int DROP = 8_192, DROP_PAUSE_MS = 1;
+    private static final int DISCARD_CHUNK_BYTES = 8_192, DISCARD_PAUSE_MS = 1;
 
     private final Socket socket;
     private final InputStream in;
     private final Clock clock;
-    private final byte[] ahead = new byte[AHEAD];
-    private int from, to;
+    private final byte[] readAhead = new byte[READ_AHEAD_BYTES];
+    private int readPosition, readLimit;
     /** When what is being read must have come at the latest, and how long its peer may pause. */
-    private long by, pauseMs;
-    private boolean timed;
+    private long deadline, maxPauseMs;
+    private boolean timeoutSet;
 
     ClientInput(Socket socket, Clock clock) throws IOException {
         this.socket = socket;
@@ -33,71 +33,71 @@
     }
 
     /** Waits for the next message's first byte. */
-    int first() throws IOException {
-        if (from == to) {
-            if (timed) {
+    int awaitFirstByte() throws IOException {
+        if (readPosition == readLimit) {
+            if (timeoutSet) {
                 socket.setSoTimeout(0);
-                timed = false;
+                timeoutSet = false;
             }
-            from = 0;
-            to = in.read(ahead, 0, AHEAD);
-            if (to < 0) {
-                from = to = 0;
+            readPosition = 0;
+            readLimit = in.read(readAhead, 0, READ_AHEAD_BYTES);
+            if (readLimit < 0) {
+                readPosition = readLimit = 0;
                 throw new EOFException("the client closed the connection");
             }
         }
-        return ahead[from++] & 0xff;
+        return readAhead[readPosition++] & 0xff;
     }
 
     /** From here on all that is read must have come within this time, and the next of it always within the pause. */
-    void within(long ms, long pauseMs) {
-        by = clock.now() + ms * Clock.MS;
-        this.pauseMs = pauseMs;
+    void setTimeLimits(long totalMs, long maxPauseMs) {
+        deadline = clock.now() + totalMs * Clock.MS;
+        this.maxPauseMs = maxPauseMs;
     }
 
     /** Time that passed because of us, not of the peer. */
-    void forgive(long ns) {
-        by += ns;
+    void extendDeadline(long ns) {
+        deadline += ns;
     }
 
-    void read(byte[] into, int length) throws IOException, ProtocolException {
-        int got = 0;
-        while (got < length) {
-            got += some(into, got, length - got);
+    void readFully(byte[] target, int length) throws IOException, ProtocolException {
+        int received = 0;
+        while (received < length) {
+            received += readSome(target, received, length - received);
         }
     }
 
     /** Reads what there is of this much, at least a byte. */
-    int some(byte[] into, int at, int length) throws IOException, ProtocolException {
-        int got = Math.min(length, to - from);
-        System.arraycopy(ahead, from, into, at, got);
-        from += got;
-        return got > 0 ? got : more(into, at, length);
+    int readSome(byte[] target, int offset, int length) throws IOException, ProtocolException {
+        int received = Math.min(length, readLimit - readPosition);
+        System.arraycopy(readAhead, readPosition, target, offset, received);
+        readPosition += received;
+        return received > 0 ? received : readFromSocket(target, offset, length);
     }
 
-    int number() throws IOException, ProtocolException {
+    int readInt() throws IOException, ProtocolException {
         byte[] bytes = new byte[Integer.BYTES];
-        read(bytes, bytes.length);
+        readFully(bytes, bytes.length);
         return ByteBuffer.wrap(bytes).getInt();
     }
 
     void skip(int length) throws IOException, ProtocolException {
-        int left = length - Math.min(length, to - from);
-        from += length - left;
-        byte[] sink = new byte[AHEAD];
-        while (left > 0) {
-            left -= more(sink, 0, Math.min(left, AHEAD));
+        int remaining = length - Math.min(length, readLimit - readPosition);
+        readPosition += length - remaining;
+        byte[] sink = new byte[READ_AHEAD_BYTES];
+        while (remaining > 0) {
+            remaining -= readFromSocket(sink, 0, Math.min(remaining, READ_AHEAD_BYTES));
         }
     }
 
     /** Reads and drops what still comes, at a pace that costs others little; returns at the end of the input. */
-    void drop() throws IOException {
-        from = to = 0;
-        byte[] sink = new byte[DROP];
+    void discardUntilEnd() throws IOException {
+        readPosition = readLimit = 0;
+        byte[] sink = new byte[DISCARD_CHUNK_BYTES];
         socket.setSoTimeout(0);
-        while (in.read(sink, 0, DROP) >= 0) {
+        while (in.read(sink, 0, DISCARD_CHUNK_BYTES) >= 0) {
             try {
-                Thread.sleep(DROP_PAUSE_MS);
+                Thread.sleep(DISCARD_PAUSE_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -105,26 +105,26 @@
         }
     }
 
-    private static int some(int got) throws EOFException {
-        if (got < 0) {
+    private static int readSome(int received) throws EOFException {
+        if (received < 0) {
             throw new EOFException("the client closed the connection");
         }
-        return got;
+        return received;
     }
 
-    private int more(byte[] into, int at, int length) throws IOException, ProtocolException {
-        long pauseEnds = clock.now() + pauseMs * Clock.MS;
+    private int readFromSocket(byte[] target, int offset, int length) throws IOException, ProtocolException {
+        long pauseDeadline = clock.now() + maxPauseMs * Clock.MS;
         try {
             while (true) {
-                long left = (Math.min(by, pauseEnds) - clock.now()) / Clock.MS + 1;
-                if (left <= 0) {
+                long remainingMs = (Math.min(deadline, pauseDeadline) - clock.now()) / Clock.MS + 1;
+                if (remainingMs <= 0) {
                     break;
                 }
-                socket.setSoTimeout((int) left);
-                timed = true;
-                int got = in.read(into, at, length);
-                if (!TimedInput.wasInterrupted(got)) {
-                    return some(got);
+                socket.setSoTimeout((int) remainingMs);
+                timeoutSet = true;
+                int received = in.read(target, offset, length);
+                if (!DeadlineInputStream.wasInterrupted(received)) {
+                    return readSome(received);
                 }
             }
         } catch (SocketTimeoutException e) {
--- a/pooler/src/main/java/holdmux/pg/ClientSession.java
+++ b/pooler/src/main/java/holdmux/pg/ClientSession.java
@@ -2,21 +2,21 @@
 
 import holdmux.core.Admission;
 import holdmux.core.Balancer;
-import holdmux.core.Cell;
-import holdmux.core.Client;
+import holdmux.core.ScalarResult;
+import holdmux.core.Responder;
 import holdmux.core.Clock;
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Deadlines;
 import holdmux.core.Log;
 import holdmux.core.Request;
-import holdmux.core.Updated;
-import holdmux.core.Value;
-import holdmux.statement.Buffers;
+import holdmux.core.UpdateResult;
+import holdmux.core.QueryResult;
+import holdmux.statement.BufferPool;
 import holdmux.statement.SqlState;
 import holdmux.statement.Statement;
 import holdmux.statement.StatementException;
-import holdmux.statement.Text;
+import holdmux.statement.ChunkedText;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -36,15 +36,15 @@
  */
 final class ClientSession implements Runnable {
     /** What all sessions share. */
-    record Context(Balancer balancer, Admission admission, Buffers buffers,
+    record Context(Balancer balancer, Admission admission, BufferPool buffers,
             Clock clock, Deadlines deadlines, Counters counters, Executor workers, CountDownLatch ready,
-            Clients clients) {}
+            ClientRegistry clients) {}
 
     /**
      * What waits for its answer: a query of so many bytes, in a buffer of the pool where it is long, or what was wrong
      * with the input. Neither is the client's farewell.
      */
-    private record Turn(Text query, ProtocolException wrong) {
+    private record Command(ChunkedText query, ProtocolException error) {
         int length() {
             return query == null ? 0 : query.length;
         }
@@ -54,23 +54,23 @@
     /** A CancelRequest is its length, its code, the process and the secret. */
     private static final int CANCEL_LENGTH = 4 * Integer.BYTES;
     /** A startup packet is a few short names; PostgreSQL itself takes no more than this. */
-    private static final int MOST_STARTUP = 10_000;
+    private static final int MAX_STARTUP_BYTES = 10_000;
     /** Longer queries go to a buffer of the pool; a usual one of 1 KiB in hexadecimal is shorter. */
-    private static final int SHORT = 4_096;
+    private static final int SHORT_QUERY_BYTES = 4_096;
     /** Bad inputs for each line of the log. */
-    private static final int LOG_EVERY = 100;
+    private static final int BAD_INPUTS_PER_LOG_LINE = 100;
     /** A client may take 2 s for the head of a message or pause so long within it; what hangs is owed an end within
      * 3 s. */
-    private static final int PAUSE_MS = 2_600;
+    private static final int MAX_PAUSE_MS = 2_600;
     /** Whatever its pauses, a message must come at this pace after a start: who drips holds buffers for good. */
-    private static final int DRIP_MS = 10_000, DRIP_BYTES_PER_MS = 16;
+    private static final int MESSAGE_TIMEOUT_MS = 10_000, MIN_BYTES_PER_MS = 16;
     /** Commands that may wait on one connection behind the one that is answered, and bytes of them that are read
      * ahead. Drivers that pipeline send a few; the caps of all clients together are a few MiB. What comes beyond is
      * refused in its turn, up to so many commands. */
-    private static final int MOST_AHEAD = 32, BYTES_AHEAD = 8_192, MOST_REFUSED = 10_000;
+    private static final int MAX_QUEUED = 32, MAX_QUEUED_BYTES = 8_192, MAX_PENDING_REFUSALS = 10_000;
     /** How long a connection whose output has ended waits for its client's end: some times the way there and back. */
     private static final long LINGER_NS = 150 * Clock.MS;
-    private static final ProtocolException TOO_MANY =
+    private static final ProtocolException TOO_MANY_COMMANDS =
             ProtocolException.refused(SqlState.TOO_MANY_CONNECTIONS, "too many commands at once");
     private final Socket socket;
     private final Context context;
@@ -79,15 +79,15 @@
     private final ClientOutput out;
     /** All under this object's monitor. What waits to be answered: at most MOST_AHEAD turns, commands that came beyond
      * what may wait, and the last word there will be. */
-    private final ArrayDeque<Turn> ahead = new ArrayDeque<>(2);
-    private int bytesAhead, beyond;
-    private Turn last;
+    private final ArrayDeque<Command> queue = new ArrayDeque<>(2);
+    private int queuedBytes, pendingRefusals;
+    private Command finalCommand;
     /** Whether a message has begun to come in, one is being answered, too many came at once, the connection is to end
      * once all is answered, and has ended: from then on nothing that comes in is taken. */
-    private boolean reading, answering, flooded, closing, ended;
-    private Request current;
+    private boolean reading, answering, overloaded, closing, ended;
+    private Request currentRequest;
     /** Whether its client has asked for the current request to be cancelled. */
-    private boolean cancelled;
+    private boolean cancelRequested;
 
     ClientSession(Socket socket, Context context) throws IOException {
         this.socket = socket;
@@ -100,75 +100,75 @@
     @Override
     public void run() {
         try {
-            if (!startup()) {
+            if (!readStartup()) {
                 close();
                 return;
             }
-            while (message()) {
+            while (readMessage()) {
                 // the next one
             }
-            drop();
+            discardInput();
         } catch (ProtocolException e) {
-            answerLater(new Turn(null, e), true);
-            drop();
+            enqueue(new Command(null, e), true);
+            discardInput();
         } catch (IOException e) {
-            leave(); // the client is gone, or was told to go
+            abort(); // the client is gone, or was told to go
         } catch (RuntimeException | Error e) {
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("a client could not be read", e);
-            leave();
+            abort();
         }
     }
 
     /** Nothing more is taken: reads on all the same, up to the client's end. */
-    private void drop() {
+    private void discardInput() {
         try {
-            in.drop();
+            in.discardUntilEnd();
         } catch (IOException e) {
             // closed, by whichever side
         }
-        leave();
+        abort();
     }
 
     /** Up to the first ReadyForQuery; false where the connection was for something else. */
-    private boolean startup() throws IOException, ProtocolException {
-        in.within(PAUSE_MS, PAUSE_MS);
+    private boolean readStartup() throws IOException, ProtocolException {
+        in.setTimeLimits(MAX_PAUSE_MS, MAX_PAUSE_MS);
         while (true) {
-            int length = in.number();
-            if (length < 8 || length > MOST_STARTUP) {
+            int length = in.readInt();
+            if (length < 8 || length > MAX_STARTUP_BYTES) {
                 throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a startup packet of " + length + " bytes");
             }
-            int code = in.number();
+            int code = in.readInt();
             if (code == SSL_REQUEST || code == GSS_REQUEST) {
                 in.skip(length - 8);
                 out.write('N');
             } else if (code == CANCEL_REQUEST) {
                 if (length == CANCEL_LENGTH) {
-                    context.clients().cancel(in.number(), in.number());
+                    context.clients().cancel(in.readInt(), in.readInt());
                 }
                 return false;
             } else if (code >>> 16 != 3) {
                 throw ProtocolException.fatal(SqlState.FEATURE_NOT_SUPPORTED, "protocol " + (code >>> 16));
             } else {
-                byte[] names = new byte[length - 8];
-                in.read(names, names.length);
-                greet(names, code);
+                byte[] parameters = new byte[length - 8];
+                in.readFully(parameters, parameters.length);
+                completeStartup(parameters, code);
                 return true;
             }
         }
     }
 
-    private void greet(byte[] names, int protocol) throws IOException, ProtocolException {
-        if (!hasUser(names)) {
+    private void completeStartup(byte[] parameters, int protocolVersion) throws IOException, ProtocolException {
+        if (!hasUser(parameters)) {
             throw ProtocolException.fatal(SqlState.INVALID_AUTHORIZATION, "the startup packet names no user");
         }
-        out.greet(protocol, context.clients().keyOf(this));
+        out.writeGreeting(protocolVersion, context.clients().cancelKeys(this));
     }
 
-    private static boolean hasUser(byte[] names) throws ProtocolException {
-        String[] parts = new String(names, StandardCharsets.UTF_8).split("\0", -1);
+    private static boolean hasUser(byte[] parameters) throws ProtocolException {
+        String[] parts = new String(parameters, StandardCharsets.UTF_8).split("\0", -1);
         // name, value, name, value ... and a lone zero at the end
-        if (names.length == 0 || names[names.length - 1] != 0 || parts.length % 2 != 0) {
+        if (parameters.length == 0 || parameters[parameters.length - 1] != 0 || parts.length % 2 != 0) {
             throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a startup packet of odd parts");
         }
         for (int i = 0; i + 1 < parts.length; i += 2) {
@@ -180,30 +180,30 @@
     }
 
     /** Reads one message; false if no more are wanted. */
-    private boolean message() throws IOException, ProtocolException {
-        int type = in.first();
-        if (!begin()) {
+    private boolean readMessage() throws IOException, ProtocolException {
+        int type = in.awaitFirstByte();
+        if (!beginMessage()) {
             return false;
         }
-        in.within(PAUSE_MS, PAUSE_MS);
-        int length = in.number() - Integer.BYTES;
+        in.setTimeLimits(MAX_PAUSE_MS, MAX_PAUSE_MS);
+        int length = in.readInt() - Integer.BYTES;
         if (length < 0) {
             throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a message of " + length + " bytes");
-        } else if (length > Math.min(Statement.MOST, context.buffers().longest())) {
+        } else if (length > Math.min(Statement.MAX_BYTES, context.buffers().maxMessageBytes())) {
             throw ProtocolException.fatal(SqlState.PROGRAM_LIMIT_EXCEEDED, "a message of " + length + " bytes");
         }
         switch (type) {
             case 'Q' -> {
-                if (hasRoom()) {
-                    answerLater(query(length), false);
+                if (canQueue()) {
+                    enqueue(readQuery(length), false);
                 } else {
-                    in.within(DRIP_MS + length / DRIP_BYTES_PER_MS, PAUSE_MS);
+                    in.setTimeLimits(MESSAGE_TIMEOUT_MS + length / MIN_BYTES_PER_MS, MAX_PAUSE_MS);
                     in.skip(length);
-                    refuseLater();
+                    enqueueRefusal();
                 }
             }
             case 'X' -> {
-                answerLater(new Turn(null, null), true);
+                enqueue(new Command(null, null), true);
                 return false;
             }
             case 'P', 'B', 'D', 'E', 'C', 'H', 'S', 'F', 'd', 'c', 'f', 'p' -> throw ProtocolException.fatal(
@@ -214,73 +214,73 @@
     }
 
     /** Whether one more command may wait; behind one that is refused all are, up to where nothing waits. */
-    private synchronized boolean hasRoom() {
-        flooded |= ahead.size() >= MOST_AHEAD;
-        return beyond == 0 && !flooded && bytesAhead <= BYTES_AHEAD;
+    private synchronized boolean canQueue() {
+        overloaded |= queue.size() >= MAX_QUEUED;
+        return pendingRefusals == 0 && !overloaded && queuedBytes <= MAX_QUEUED_BYTES;
     }
 
     /** A command that was not taken in: its refusal comes in its turn. */
-    private void refuseLater() throws ProtocolException {
+    private void enqueueRefusal() throws ProtocolException {
         synchronized (this) {
-            if (beyond == MOST_REFUSED) {
+            if (pendingRefusals == MAX_PENDING_REFUSALS) {
                 throw ProtocolException.fatal(SqlState.TOO_MANY_CONNECTIONS, "too many commands at once");
             }
             reading = false;
-            beyond++;
+            pendingRefusals++;
         }
-        answerNow();
+        scheduleAnswering();
     }
 
     /** Reads the body of a query; a long one into buffers of the pool, as its bytes come and the pool has room. */
-    private Turn query(int length) throws IOException, ProtocolException {
-        in.within(DRIP_MS + length / DRIP_BYTES_PER_MS, PAUSE_MS);
-        if (length <= SHORT) {
+    private Command readQuery(int length) throws IOException, ProtocolException {
+        in.setTimeLimits(MESSAGE_TIMEOUT_MS + length / MIN_BYTES_PER_MS, MAX_PAUSE_MS);
+        if (length <= SHORT_QUERY_BYTES) {
             byte[] body = new byte[length];
-            in.read(body, length);
-            return new Turn(Text.of(body, length), null);
+            in.readFully(body, length);
+            return new Command(ChunkedText.of(body, length), null);
         }
         List<byte[]> parts = new ArrayList<>();
-        Text text = new Text(parts, length, true);
-        boolean whole = false;
+        ChunkedText text = new ChunkedText(parts, length, true);
+        boolean complete = false;
         try {
-            for (int got = 0; got < length;) {
-                if (got == parts.size() * Buffers.SIZE) {
-                    long before = context.clock().now();
-                    parts.add(context.buffers().takeFor(this, socket::isClosed));
-                    in.forgive(context.clock().now() - before);
+            for (int received = 0; received < length;) {
+                if (received == parts.size() * BufferPool.BUFFER_SIZE) {
+                    long waitStart = context.clock().now();
+                    parts.add(context.buffers().acquireForLongMessage(this, socket::isClosed));
+                    in.extendDeadline(context.clock().now() - waitStart);
                 }
-                int at = got % Buffers.SIZE;
-                got += in.some(parts.get(parts.size() - 1), at, Math.min(length - got, Buffers.SIZE - at));
+                int offset = received % BufferPool.BUFFER_SIZE;
+                received += in.readSome(parts.get(parts.size() - 1), offset, Math.min(length - received, BufferPool.BUFFER_SIZE - offset));
             }
-            whole = true;
-            return new Turn(text, null);
+            complete = true;
+            return new Command(text, null);
         } finally {
-            context.buffers().wholeFor(this);
-            if (!whole) {
+            context.buffers().releaseReserve(this);
+            if (!complete) {
                 text.release(context.buffers());
             }
         }
     }
 
     /** Puts a turn behind those that wait, the {@code end} of all behind what is refused, and sees that someone answers. */
-    private void answerLater(Turn turn, boolean end) {
+    private void enqueue(Command command, boolean isFinal) {
         synchronized (this) {
             reading = false;
             if (ended) {
-                release(turn); // too late: the output has ended, and nothing is sent on
+                release(command); // too late: the output has ended, and nothing is sent on
                 return;
             }
-            if (end) {
-                last = turn;
+            if (isFinal) {
+                finalCommand = command;
             } else {
-                ahead.add(turn);
-                bytesAhead += turn.length();
+                queue.add(command);
+                queuedBytes += command.length();
             }
         }
-        answerNow();
+        scheduleAnswering();
     }
 
-    private void answerNow() {
+    private void scheduleAnswering() {
         synchronized (this) {
             if (answering) {
                 return;
@@ -288,174 +288,174 @@
             answering = true;
         }
         try {
-            context.workers().execute(this::answerAll);
+            context.workers().execute(this::answerQueued);
         } catch (RejectedExecutionException e) {
             // no thread to be had: this one must go on reading, so it refuses what waits, and waits for nothing itself
             synchronized (this) {
-                flooded = true;
+                overloaded = true;
             }
-            answerAll();
+            answerQueued();
         }
     }
 
     /** Answers what waits, in order, until nothing does. */
-    private void answerAll() {
-        for (Turn turn = next(); turn != null; turn = next()) {
+    private void answerQueued() {
+        for (Command command = nextCommand(); command != null; command = nextCommand()) {
             try {
-                answer(turn);
+                answer(command);
             } catch (IOException e) {
-                leave(); // nobody is left to be told
+                abort(); // nobody is left to be told
             } catch (RuntimeException | Error e) {
                 counters.count(Counter.INTERNAL_ERRORS);
                 Log.error("an answer failed here", e);
-                leave();
+                abort();
             } finally {
-                release(turn);
+                release(command);
             }
         }
     }
 
     /** The next turn to answer, or null; then the connection rests, or ends if it was to. */
-    private Turn next() {
-        boolean end;
+    private Command nextCommand() {
+        boolean endNow;
         synchronized (this) {
-            Turn turn = waiting();
-            if (turn != null) {
-                return turn;
+            Command command = pollQueue();
+            if (command != null) {
+                return command;
             }
             answering = false;
-            flooded = false;
+            overloaded = false;
             if (ended) {
                 return null;
             }
-            end = (closing || context.clients().sendsAway()) && !reading;
-            ended = end;
+            endNow = (closing || context.clients().closesIdleSessions()) && !reading;
+            ended = endNow;
         }
-        if (end) {
-            end();
+        if (endNow) {
+            closeGracefully();
         } else {
-            context.clients().rests(this);
+            context.clients().markIdle(this);
         }
         return null;
     }
 
-    private Turn waiting() {
-        Turn turn = ahead.poll();
-        if (turn != null) {
-            bytesAhead -= turn.length();
-        } else if (beyond > 0) {
-            beyond--;
-            turn = new Turn(null, TOO_MANY);
+    private Command pollQueue() {
+        Command command = queue.poll();
+        if (command != null) {
+            queuedBytes -= command.length();
+        } else if (pendingRefusals > 0) {
+            pendingRefusals--;
+            command = new Command(null, TOO_MANY_COMMANDS);
         } else {
-            turn = last;
-            last = null;
+            command = finalCommand;
+            finalCommand = null;
         }
-        return turn;
+        return command;
     }
 
-    private void answer(Turn turn) throws IOException {
-        if (turn.wrong() != null) {
-            refuseInput(turn.wrong());
-        } else if (turn.query() == null) {
-            endAfterThis();
-        } else if (isFlooded()) {
-            refuseInput(TOO_MANY);
+    private void answer(Command command) throws IOException {
+        if (command.error() != null) {
+            rejectInput(command.error());
+        } else if (command.query() == null) {
+            closeAfterQueue();
+        } else if (isOverloaded()) {
+            rejectInput(TOO_MANY_COMMANDS);
         } else {
             try {
-                answerQuery(turn);
+                answerQuery(command);
             } catch (ProtocolException e) {
-                refuseInput(e);
+                rejectInput(e);
             } catch (StatementException e) {
-                refuseInput(ProtocolException.rejected(e));
+                rejectInput(ProtocolException.rejected(e));
             }
         }
     }
 
-    private synchronized boolean isFlooded() {
-        return flooded;
+    private synchronized boolean isOverloaded() {
+        return overloaded;
     }
 
-    private synchronized void endAfterThis() {
+    private synchronized void closeAfterQueue() {
         closing = true;
     }
 
-    private void release(Turn turn) {
-        if (turn.query() != null) {
-            turn.query().release(context.buffers());
+    private void release(Command command) {
+        if (command.query() != null) {
+            command.query().release(context.buffers());
         }
     }
 
-    private void answerQuery(Turn turn) throws IOException, ProtocolException, StatementException {
-        Text query = turn.query();
-        int end = turn.length() - 1;
-        if (end < 0 || query.at(end) != 0) {
+    private void answerQuery(Command command) throws IOException, ProtocolException, StatementException {
+        ChunkedText query = command.query();
+        int end = command.length() - 1;
+        if (end < 0 || query.byteAt(end) != 0) {
             throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a query that does not end in a zero");
         }
-        if (blank(query, end)) {
-            context.clients().works(this);
-            if (context.clients().isAway()) {
-                out.error(SqlState.CANNOT_CONNECT_NOW, "this pooler sends its clients away", 0);
+        if (isBlank(query, end)) {
+            context.clients().markBusy(this);
+            if (context.clients().isEvacuating()) {
+                out.writeError(SqlState.CANNOT_CONNECT_NOW, "this pooler sends its clients away", 0);
                 return;
             }
             awaitReady();
             counters.count(Counter.EMPTY_QUERIES);
-            out.emptyQuery();
+            out.writeEmptyQuery();
         } else if (isShowStats(query, end)) {
-            context.clients().works(this);
-            out.stats(counters);
+            context.clients().markBusy(this);
+            out.writeStats(counters);
         } else {
-            Statement statement = Statement.parse(query.butLast());
-            Admission.Closed closed = context.admission().closed();
-            if (closed != null) {
-                counters.count(closed.counter());
-                out.error(SqlState.CANNOT_CONNECT_NOW, closed.reason(), closed.retryAfterNs());
+            Statement statement = Statement.parse(query.withoutLastByte());
+            Admission.Refusal refusal = context.admission().refusal();
+            if (refusal != null) {
+                counters.count(refusal.counter());
+                out.writeError(SqlState.CANNOT_CONNECT_NOW, refusal.reason(), refusal.retryAfterNs());
                 return;
             }
-            Request.Call call = context.admission().call(statement, context.clients().timeLeft());
-            context.clients().works(this);
-            long left = context.clients().timeLeft();
-            if (left <= 0 || left < Admission.waitNs(statement) && statement.write) {
+            Request.Spec call = context.admission().admit(statement, context.clients().timeLeftNs());
+            context.clients().markBusy(this);
+            long timeLeftNs = context.clients().timeLeftNs();
+            if (timeLeftNs <= 0 || timeLeftNs < Admission.remainingWaitNs(statement) && statement.write) {
                 // it could not be told in time how the request ended; another pooler can take it
-                endAfterThis();
-                out.error(SqlState.CANNOT_CONNECT_NOW, "this pooler is about to end", 0);
+                closeAfterQueue();
+                out.writeError(SqlState.CANNOT_CONNECT_NOW, "this pooler is about to end", 0);
                 return;
             }
-            Request request = context.balancer().taken(call);
-            if (!begins(request)) {
-                context.balancer().left(request);
+            Request request = context.balancer().openRequest(call);
+            if (!startRequest(request)) {
+                context.balancer().clientLeft(request);
             }
-            PgClient client = new PgClient(statement);
-            context.balancer().life(request, statement, client);
-            if (ends() && !client.answered) {
+            PgResponder responder = new PgResponder(statement);
+            context.balancer().execute(request, statement, responder);
+            if (finishRequest() && !responder.answered) {
                 counters.count(Counter.QUERIES_CANCELED);
-                out.error(SqlState.QUERY_CANCELED, "canceling statement due to user request", 0);
+                out.writeError(SqlState.QUERY_CANCELED, "canceling statement due to user request", 0);
             }
         }
     }
 
     /** Notes the request that is under way; false if the client has left. */
-    private synchronized boolean begins(Request request) {
-        current = request;
+    private synchronized boolean startRequest(Request request) {
+        currentRequest = request;
         return !ended;
     }
 
     /** No request is under way any more; whether the client had this one cancelled, and is still there. */
-    private synchronized boolean ends() {
-        boolean asked = cancelled;
-        current = null;
-        cancelled = false;
-        return asked && !ended;
+    private synchronized boolean finishRequest() {
+        boolean wasCancelled = cancelRequested;
+        currentRequest = null;
+        cancelRequested = false;
+        return wasCancelled && !ended;
     }
 
     /** PostgreSQL's CancelRequest: takes back the request that is under way, if any; the connection lives on. */
     void cancel() {
-        Request now;
+        Request request;
         synchronized (this) {
-            now = current;
-            cancelled = now != null;
+            request = currentRequest;
+            cancelRequested = request != null;
         }
-        if (now != null) {
-            context.balancer().left(now);
+        if (request != null) {
+            context.balancer().clientLeft(request);
         }
     }
 
@@ -467,15 +467,15 @@
         }
     }
 
-    private static boolean isShowStats(Text query, int end) {
+    private static boolean isShowStats(ChunkedText query, int end) {
         // 32 bytes hold the command with room for blanks; longer ones are statements
-        return end < 32 && query.string(0, end).strip().toUpperCase(Locale.ROOT)
+        return end < 32 && query.substring(0, end).strip().toUpperCase(Locale.ROOT)
                 .matches("SHOW STATS\\s*;?");
     }
 
-    private static boolean blank(Text query, int end) {
+    private static boolean isBlank(ChunkedText query, int end) {
         for (int i = 0; i < end; i++) {
-            if (" ;\n\t\r".indexOf(query.at(i)) < 0) {
+            if (" ;\n\t\r".indexOf(query.byteAt(i)) < 0) {
                 return false;
             }
         }
@@ -483,73 +483,73 @@
     }
 
     /** The PostgreSQL side of one request. */
-    private final class PgClient implements Client {
+    private final class PgResponder implements Responder {
         private final Statement statement;
         /** Whether the one final answer has begun. */
         private boolean answered;
 
-        PgClient(Statement statement) {
+        PgResponder(Statement statement) {
             this.statement = statement;
         }
 
         @Override
-        public Value.Form form() {
-            return Value.Form.CELL;
+        public QueryResult.Shape resultShape() {
+            return QueryResult.Shape.CELL;
         }
 
         @Override
-        public void serve(Value value) throws IOException {
+        public void serve(QueryResult result) throws IOException {
             answered = true;
             try {
-                if (value instanceof PgValue same) {
-                    if (same.isLong()) {
+                if (result instanceof PgResult pgResult) {
+                    if (pgResult.isStreamed()) {
                         counters.count(Counter.LONG_ANSWERS);
                     }
-                    same.relayTo(out);
-                } else if (value instanceof Updated updated) {
-                    out.updated(updated.rows());
+                    pgResult.relayTo(out);
+                } else if (result instanceof UpdateResult update) {
+                    out.writeUpdateCount(update.rows());
                 } else {
-                    out.cell((Cell) value, statement.write);
+                    out.writeScalar((ScalarResult) result, statement.write);
                 }
             } catch (IOException e) {
-                leave(); // what is cut short shows as that
+                abort(); // what is cut short shows as that
                 throw e;
             }
         }
 
         @Override
-        public void refuse(long waitNs) throws IOException {
+        public void refuse(long retryAfterNs) throws IOException {
             answered = true;
-            out.error(SqlState.TOO_MANY_CONNECTIONS, "no server can take this in time", waitNs);
+            out.writeError(SqlState.TOO_MANY_CONNECTIONS, "no server can take this in time", retryAfterNs);
         }
 
         @Override
         public void fail() throws IOException {
             answered = true;
-            out.error(SqlState.TRANSACTION_RESOLUTION_UNKNOWN, "no answer came in time; the request may have run", 0);
+            out.writeError(SqlState.TRANSACTION_RESOLUTION_UNKNOWN, "no answer came in time; the request may have run", 0);
         }
     }
 
     /** Counts and answers bad input; the log has the first and then one in some, so that no flood fills it. */
-    private void refuseInput(ProtocolException e) throws IOException {
-        boolean capacity = e.sqlState.equals(SqlState.TOO_MANY_CONNECTIONS);
-        counters.count(capacity ? Counter.OVER_CAPACITY : Counter.BAD_INPUT);
-        if (!capacity && counters.get(Counter.BAD_INPUT) % LOG_EVERY == 1) {
+    private void rejectInput(ProtocolException e) throws IOException {
+        boolean overCapacity = e.sqlState.equals(SqlState.TOO_MANY_CONNECTIONS);
+        counters.count(overCapacity ? Counter.OVER_CAPACITY : Counter.BAD_INPUT);
+        if (!overCapacity && counters.get(Counter.BAD_INPUT) % BAD_INPUTS_PER_LOG_LINE == 1) {
             Log.warn("client " + socket.getRemoteSocketAddress() + ": " + e.getMessage());
         }
-        if (!e.framed) {
-            endAfterThis();
+        if (!e.framingIntact) {
+            closeAfterQueue();
         }
-        out.message(message -> {
-            message.error(!e.framed, e.sqlState, e.getMessage(), null);
-            if (e.framed) {
+        out.writeMessage(message -> {
+            message.error(!e.framingIntact, e.sqlState, e.getMessage(), null);
+            if (e.framingIntact) {
                 message.readyForQuery();
             }
         });
     }
 
     /** A message has begun; false if the connection has ended, so that it is none. */
-    private synchronized boolean begin() {
+    private synchronized boolean beginMessage() {
         reading = !ended;
         return reading;
     }
@@ -558,7 +558,7 @@
      * Ends a connection that was marked as ended with nothing reading or answering on it: first the output alone. What
      * its client sends meanwhile is never taken, and it asks again elsewhere.
      */
-    private void end() {
+    private void closeGracefully() {
         try {
             socket.shutdownOutput();
             context.deadlines().after(LINGER_NS, this::close);
@@ -568,40 +568,40 @@
     }
 
     /** The client has gone away: what it asked for is nobody's any more. */
-    private void leave() {
-        Request left;
-        List<Turn> dropped;
+    private void abort() {
+        Request request;
+        List<Command> discarded;
         synchronized (this) {
             ended = true;
-            left = current;
-            dropped = List.copyOf(ahead);
-            ahead.clear();
-            bytesAhead = 0;
-            beyond = 0;
-            last = null;
+            request = currentRequest;
+            discarded = List.copyOf(queue);
+            queue.clear();
+            queuedBytes = 0;
+            pendingRefusals = 0;
+            finalCommand = null;
         }
-        dropped.forEach(this::release);
-        if (left != null) {
-            context.balancer().left(left);
+        discarded.forEach(this::release);
+        if (request != null) {
+            context.balancer().clientLeft(request);
         }
         close();
     }
 
     /** Ends the connection as soon as nothing is being answered on it. */
     void closeWhenIdle() {
-        endAfterThis();
-        closeAtRest();
+        closeAfterQueue();
+        closeIfIdle();
     }
 
     /** Ends the connection if nothing is coming in or being answered on it; whether it does. */
-    boolean closeAtRest() {
+    boolean closeIfIdle() {
         synchronized (this) {
             if (reading || answering || ended) {
                 return false;
             }
             ended = true;
         }
-        end();
+        closeGracefully();
         return true;
     }
 
@@ -626,6 +626,6 @@
         } catch (IOException e) {
             // closing is all that was wanted
         }
-        context.clients().gone(this);
+        context.clients().remove(this);
     }
 }
--- a/pooler/src/main/java/holdmux/pg/Listener.java
+++ b/pooler/src/main/java/holdmux/pg/Listener.java
@@ -3,7 +3,7 @@
 import holdmux.core.Clock;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Log;
-import holdmux.core.SystemFaults;
+import holdmux.core.StartupRetry;
 import holdmux.statement.SqlState;
 import java.io.IOException;
 import java.io.InputStream;
@@ -24,35 +24,35 @@
     private static final int BACKLOG = 512;
 
     /** How often the listener looks whether it is to stop. */
-    private static final int LOOK_MS = 20;
+    private static final int STOP_POLL_MS = 20;
     /** Nobody came for so long: the kernel's queue is empty. A crowd that never leaves it so is not waited out. */
-    private static final int EMPTY_MS = 1, MOST_EMPTYING_MS = 200;
+    private static final int FINAL_ACCEPT_MS = 1, MAX_FINAL_ACCEPTS_MS = 200;
     /** Who is turned away has sent its startup by then, or what it sent takes our word with it; so many at most. */
     private static final long LINGER_NS = 100 * Clock.MS;
-    private static final int MOST_LINGERING = 16, MOST_DROPPED = 64 * 1024;
+    private static final int MAX_LINGERING = 16, MAX_DISCARDED_BYTES = 64 * 1024;
 
-    private final ServerSocket server = new ServerSocket();
+    private final ServerSocket serverSocket = new ServerSocket();
     private final InetSocketAddress address;
     private final ClientSession.Context context;
     private final CountDownLatch closed = new CountDownLatch(1);
-    private final Executor threads;
-    private final AtomicInteger lingering = new AtomicInteger();
+    private final Executor executor;
+    private final AtomicInteger lingeringSockets = new AtomicInteger();
     private volatile boolean stopping;
 
     /** {@code threads} read from clients, one each; kept for the next, since in a crowd most stay a moment only. */
-    Listener(InetSocketAddress address, ClientSession.Context context, Executor threads) throws IOException {
-        this.threads = threads;
+    Listener(InetSocketAddress address, ClientSession.Context context, Executor executor) throws IOException {
+        this.executor = executor;
         this.address = address;
         this.context = context;
-        SystemFaults.retried("a listening socket cannot be made", () -> server.setReuseAddress(true));
-        SystemFaults.retried("a listening socket cannot be set up", () -> server.setSoTimeout(LOOK_MS));
-        shareAddress();
+        StartupRetry.run("a listening socket cannot be made", () -> serverSocket.setReuseAddress(true));
+        StartupRetry.run("a listening socket cannot be set up", () -> serverSocket.setSoTimeout(STOP_POLL_MS));
+        enableReusePort();
     }
 
     /** A newer process listens beside this one while it takes over; where that cannot be had, the rest works all the same. */
-    private void shareAddress() {
+    private void enableReusePort() {
         try {
-            server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+            serverSocket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } catch (IOException | UnsupportedOperationException e) {
             // the virtual machine tries it once, at its start: one failed system call there denies it for good
             Log.warn("no other process can listen beside this one, so that it cannot be upgraded in place: " + e.getMessage());
@@ -60,7 +60,7 @@
     }
 
     void listen() throws IOException {
-        SystemFaults.retried("cannot listen at " + address, () -> server.bind(address, BACKLOG));
+        StartupRetry.run("cannot listen at " + address, () -> serverSocket.bind(address, BACKLOG));
     }
 
     /** Accepts until it is to stop, and then what had come before: closing would turn that away unheard. */
@@ -68,10 +68,10 @@
         while (!stopping) {
             acceptOne();
         }
-        try (server) {
-            server.setSoTimeout(EMPTY_MS);
-            long by = System.nanoTime() + MOST_EMPTYING_MS * Clock.MS;
-            while (acceptOne() && System.nanoTime() < by) {
+        try (serverSocket) {
+            serverSocket.setSoTimeout(FINAL_ACCEPT_MS);
+            long deadline = System.nanoTime() + MAX_FINAL_ACCEPTS_MS * Clock.MS;
+            while (acceptOne() && System.nanoTime() < deadline) {
                 // the next one
             }
         } finally {
@@ -82,7 +82,7 @@
     /** False if nobody came. */
     private boolean acceptOne() {
         try {
-            accept(server.accept());
+            accept(serverSocket.accept());
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
@@ -98,7 +98,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(STOP_POLL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -114,63 +114,63 @@
             return;
         }
         if (!context.clients().admit(session)) {
-            turnAway(socket);
+            reject(socket);
             return;
         }
         context.counters().count(Counter.CLIENTS_ACCEPTED);
         try {
-            threads.execute(session);
+            executor.execute(session);
         } catch (RejectedExecutionException e) {
             // no thread to be had: this client is turned away, the others stay
-            context.clients().gone(session);
-            turnAway(socket);
+            context.clients().remove(session);
+            reject(socket);
         }
     }
 
     /** A word and the end of the output; the connection is closed a little later, with nothing of it unread. */
-    private void turnAway(Socket socket) {
+    private void reject(Socket socket) {
         context.counters().count(Counter.CLIENTS_TURNED_AWAY);
         try {
-            new Message(new byte[256]).error(true, SqlState.TOO_MANY_CONNECTIONS, "too many clients", null)
+            new MessageBuilder(new byte[256]).error(true, SqlState.TOO_MANY_CONNECTIONS, "too many clients", null)
                     .writeTo(socket.getOutputStream());
             socket.shutdownOutput();
         } catch (IOException e) {
             // it left by itself
         }
-        if (lingering.incrementAndGet() > MOST_LINGERING) {
-            close(socket);
+        if (lingeringSockets.incrementAndGet() > MAX_LINGERING) {
+            closeLingering(socket);
         } else {
-            context.deadlines().after(LINGER_NS, () -> close(socket));
+            context.deadlines().after(LINGER_NS, () -> closeLingering(socket));
         }
     }
 
-    private void close(Socket socket) {
-        lingering.decrementAndGet();
+    private void closeLingering(Socket socket) {
+        lingeringSockets.decrementAndGet();
         try (socket; InputStream in = socket.getInputStream()) {
             byte[] sink = new byte[1_024];
-            for (int left = MOST_DROPPED; left > 0 && in.available() > 0;) {
-                left -= Math.max(1, in.read(sink));
+            for (int remaining = MAX_DISCARDED_BYTES; remaining > 0 && in.available() > 0;) {
+                remaining -= Math.max(1, in.read(sink));
             }
         } catch (IOException e) {
             // it left by itself
         }
     }
 
-    void endAfter(long afterNs) {
-        context.clients().endAfter(afterNs);
+    void announceShutdown(long delayNs) {
+        context.clients().announceShutdown(delayNs);
     }
 
     /** Returns once the listener is closed. */
     void stopAccepting() throws InterruptedException {
         stopping = true;
-        closed.await(2 * MOST_EMPTYING_MS, TimeUnit.MILLISECONDS);
+        closed.await(2 * MAX_FINAL_ACCEPTS_MS, TimeUnit.MILLISECONDS);
     }
 
     void closeWhenIdle() {
         context.clients().all().forEach(ClientSession::closeWhenIdle);
     }
 
-    int open() {
+    int openClients() {
         return context.clients().size();
     }
 }
--- a/pooler/src/main/java/holdmux/pg/Message.java
+++ b/pooler/src/main/java/holdmux/pg/MessageBuilder.java
@@ -6,73 +6,73 @@
 import java.nio.charset.StandardCharsets;
 
 /** Composes messages of version 3 of the wire protocol, one after the other, in a pooled buffer. */
-final class Message {
+final class MessageBuilder {
     static final int PROTOCOL_3 = 196_608;
     /** A type and a length. */
-    static final int HEAD = 5;
+    static final int HEADER_BYTES = 5;
 
     private final ByteBuffer out;
-    private int lengthAt;
+    private int lengthPosition;
 
-    Message(byte[] buffer) {
+    MessageBuilder(byte[] buffer) {
         out = ByteBuffer.wrap(buffer);
     }
 
-    Message begin(char type) {
+    MessageBuilder begin(char type) {
         out.put((byte) type);
         return beginUntyped();
     }
 
     /** The startup message has no type. */
-    Message beginUntyped() {
-        lengthAt = out.position();
+    MessageBuilder beginUntyped() {
+        lengthPosition = out.position();
         out.putInt(0);
         return this;
     }
 
-    Message end() {
-        out.putInt(lengthAt, out.position() - lengthAt);
+    MessageBuilder end() {
+        out.putInt(lengthPosition, out.position() - lengthPosition);
         return this;
     }
 
-    Message put(int value) {
+    MessageBuilder put(int value) {
         out.putInt(value);
         return this;
     }
 
-    Message putShort(int value) {
+    MessageBuilder putShort(int value) {
         out.putShort((short) value);
         return this;
     }
 
-    Message put(byte[] value, int from, int length) {
+    MessageBuilder put(byte[] value, int from, int length) {
         out.put(value, from, length);
         return this;
     }
 
-    Message put(char value) {
+    MessageBuilder put(char value) {
         out.put((byte) value);
         return this;
     }
 
     /** A string with its terminating zero. */
-    Message put(String value) {
+    MessageBuilder put(String value) {
         out.put(value.getBytes(StandardCharsets.UTF_8)).put((byte) 0);
         return this;
     }
 
-    Message parameterStatus(String name, String value) {
+    MessageBuilder parameterStatus(String name, String value) {
         return begin('S').put(name).put(value).end();
     }
 
-    Message readyForQuery() {
+    MessageBuilder readyForQuery() {
         return begin('Z').put('I').end();
     }
 
     /** {@code detail} is null for none. */
-    Message error(boolean fatal, String sqlState, String words, String detail) {
+    MessageBuilder error(boolean fatal, String sqlState, String text, String detail) {
         String severity = fatal ? "FATAL" : "ERROR";
-        begin('E').put('S').put(severity).put('V').put(severity).put('C').put(sqlState).put('M').put(words);
+        begin('E').put('S').put(severity).put('V').put(severity).put('C').put(sqlState).put('M').put(text);
         if (detail != null) {
             put('D').put(detail);
         }
--- a/pooler/src/main/java/holdmux/pg/PgFront.java
+++ b/pooler/src/main/java/holdmux/pg/PgFront.java
@@ -7,7 +7,7 @@
 import holdmux.core.Log;
 import holdmux.core.Services;
 import holdmux.core.Workers;
-import holdmux.statement.Buffers;
+import holdmux.statement.BufferPool;
 import holdmux.statement.Statement;
 import holdmux.statement.StatementException;
 import java.io.IOException;
@@ -16,10 +16,10 @@
 /** The PostgreSQL front: its listener and its clients. */
 public final class PgFront implements Front {
     /** Threads beyond the cap of clients: those that have just left, and are not done yet. */
-    private static final int CLOSING = 16;
+    private static final int CLOSING_CLIENT_THREADS = 16;
 
     private final Listener listener;
-    private final Clients clients;
+    private final ClientRegistry clients;
     private final Deployment deployment;
     private volatile boolean serving;
 
@@ -27,11 +27,11 @@
         Config config = services.config();
         Caps caps = config.caps();
         deployment = config.deployment();
-        clients = new Clients(caps.clients(), services.shared(), services.clock(), services.deadlines());
+        clients = new ClientRegistry(caps.clients(), services.otherProcess(), services.clock(), services.deadlines());
         listener = new Listener(config.listen(), new ClientSession.Context(services.balancer(), services.admission(),
-                new Buffers(caps.queryBytes(), Statement.MOST, services.shared()::present), services.clock(),
+                new BufferPool(caps.queryBytes(), Statement.MAX_BYTES, services.otherProcess()::present), services.clock(),
                 services.deadlines(), services.counters(), services.workers(), ready, clients),
-                new Workers(caps.clients() + CLOSING));
+                new Workers(caps.clients() + CLOSING_CLIENT_THREADS));
     }
 
     @Override
@@ -42,7 +42,7 @@
     /** Makes the code warm that the first requests need. */
     public void warmUp() {
         try {
-            Rehearsal.run(deployment);
+            JitWarmUp.run(deployment);
         } catch (ProtocolException | StatementException | RuntimeException e) {
             Log.error("the rehearsal failed; the first requests will be slow", e);
         }
@@ -60,13 +60,13 @@
     }
 
     @Override
-    public void sendAway(boolean yes) {
-        clients.away(yes);
+    public void setEvacuating(boolean evacuating) {
+        clients.setEvacuating(evacuating);
     }
 
     @Override
-    public void endAfter(long afterNs) {
-        listener.endAfter(afterNs);
+    public void announceShutdown(long delayNs) {
+        listener.announceShutdown(delayNs);
     }
 
     @Override
@@ -87,6 +87,6 @@
 
     @Override
     public int openClients() {
-        return listener.open();
+        return listener.openClients();
     }
 }
--- a/pooler/src/main/java/holdmux/pg/PgValue.java
+++ b/pooler/src/main/java/holdmux/pg/PgResult.java
@@ -1,27 +1,27 @@
 package holdmux.pg;
 
-import holdmux.core.Cell;
+import holdmux.core.ScalarResult;
 import java.io.IOException;
 import java.io.OutputStream;
 
 /** A served answer of a PostgreSQL server; to a client of the same protocol its messages pass on as they came. */
-final class PgValue implements Cell {
+final class PgResult implements ScalarResult {
     private final Answer answer;
     private final ServerPool servers;
 
-    PgValue(Answer answer, ServerPool servers) {
+    PgResult(Answer answer, ServerPool servers) {
         this.answer = answer;
         this.servers = servers;
     }
 
     /** Whether it comes in pieces. */
-    boolean isLong() {
-        return answer.begun();
+    boolean isStreamed() {
+        return answer.isStreaming();
     }
 
     /** Passes on the messages, ReadyForQuery with them. */
     void relayTo(OutputStream out) throws IOException {
-        if (answer.begun()) {
+        if (answer.isStreaming()) {
             servers.relay(answer, out, true);
         } else {
             answer.writeTo(out);
@@ -30,7 +30,7 @@
 
     @Override
     public String column() {
-        return answer.column();
+        return answer.columnName();
     }
 
     @Override
@@ -40,7 +40,7 @@
 
     @Override
     public void writeTo(OutputStream out) throws IOException {
-        if (answer.begun()) {
+        if (answer.isStreaming()) {
             servers.relay(answer, out, false);
         } else {
             answer.writeValueTo(out);
@@ -49,6 +49,6 @@
 
     @Override
     public void close() {
-        servers.giveBack(answer);
+        servers.releaseAnswer(answer);
     }
 }
--- a/pooler/src/main/java/holdmux/pg/ProtocolException.java
+++ b/pooler/src/main/java/holdmux/pg/ProtocolException.java
@@ -7,12 +7,12 @@
     private static final long serialVersionUID = 1L;
 
     /** Whether the framing still holds, so that the connection can go on after the ErrorResponse. */
-    final boolean framed;
+    final boolean framingIntact;
     final String sqlState;
 
-    private ProtocolException(boolean framed, String sqlState, String message) {
+    private ProtocolException(boolean framingIntact, String sqlState, String message) {
         super(message, null, false, false);
-        this.framed = framed;
+        this.framingIntact = framingIntact;
         this.sqlState = sqlState;
     }
 
--- a/pooler/src/main/java/holdmux/pg/ServerConnection.java
+++ b/pooler/src/main/java/holdmux/pg/ServerConnection.java
@@ -4,7 +4,7 @@
 import holdmux.core.Deadlines;
 import holdmux.core.IdleConnections;
 import holdmux.core.ServerStatus;
-import holdmux.statement.Buffers;
+import holdmux.statement.BufferPool;
 import holdmux.statement.SqlState;
 import java.io.Closeable;
 import java.io.EOFException;
@@ -23,21 +23,21 @@
  */
 final class ServerConnection implements Closeable, IdleConnections.Connection {
     /** A server that gives nothing more of a long answer for so long has vanished. */
-    private static final long SILENT_NS = 1_500 * Clock.MS;
+    private static final long STALL_TIMEOUT_NS = 1_500 * Clock.MS;
     /** Once the request's time is nearly over: the client must be able to tell within half a second of it. */
-    private static final long PAST_NS = 400 * Clock.MS, SILENT_LEAST_NS = 500 * Clock.MS;
+    private static final long LATE_GRACE_NS = 400 * Clock.MS, MIN_STALL_TIMEOUT_NS = 500 * Clock.MS;
 
     /** What stands behind a served row or an error comes in the same write; where it stops short there, it never comes. */
-    private static final long REST_NS = 50 * Clock.MS;
+    private static final long TRAILER_TIMEOUT_NS = 50 * Clock.MS;
 
     private final long store;
     private final InetSocketAddress address;
     private final SocketChannel channel;
-    private final Buffers buffers;
+    private final BufferPool buffers;
 
     /** A connection yet to be opened. */
-    ServerConnection(long store, InetSocketAddress address, Buffers buffers) throws IOException {
-        this.store = store;
+    ServerConnection(long serverId, InetSocketAddress address, BufferPool buffers) throws IOException {
+        this.store = serverId;
         this.address = address;
         this.buffers = buffers;
         channel = SocketChannel.open();
@@ -55,33 +55,33 @@
      * a close from another thread does not end a connect that a silent server never takes up.
      */
     void connect(long waitNs) throws IOException {
-        channel.socket().connect(address, (int) Math.max(1, Math.min(Integer.MAX_VALUE, Clock.millisUp(waitNs))));
+        channel.socket().connect(address, (int) Math.max(1, Math.min(Integer.MAX_VALUE, Clock.ceilMillis(waitNs))));
     }
 
     /**
      * Writes these bytes, a usual query of them in one go, if {@code stands} says so right before; whether it did, once the
      * last byte is written. A buffer may be waited for, and is there before that is asked.
      */
-    boolean send(List<ByteBuffer> parts, BooleanSupplier stands) throws IOException {
+    boolean send(List<ByteBuffer> parts, BooleanSupplier mayWrite) throws IOException {
         int length = parts.stream().mapToInt(ByteBuffer::remaining).sum();
-        if (length > Buffers.SIZE) {
-            boolean yes = stands.getAsBoolean();
-            for (ByteBuffer part : yes ? parts : List.<ByteBuffer>of()) {
+        if (length > BufferPool.BUFFER_SIZE) {
+            boolean valid = mayWrite.getAsBoolean();
+            for (ByteBuffer part : valid ? parts : List.<ByteBuffer>of()) {
                 write(part);
             }
-            return yes;
+            return valid;
         }
-        byte[] buffer = buffers.take();
+        byte[] buffer = buffers.acquire();
         try {
-            ByteBuffer whole = ByteBuffer.wrap(buffer);
-            parts.forEach(whole::put);
-            boolean yes = stands.getAsBoolean();
-            if (yes) {
-                write(whole.flip());
+            ByteBuffer message = ByteBuffer.wrap(buffer);
+            parts.forEach(message::put);
+            boolean valid = mayWrite.getAsBoolean();
+            if (valid) {
+                write(message.flip());
             }
-            return yes;
+            return valid;
         } finally {
-            buffers.give(buffer);
+            buffers.release(buffer);
         }
     }
 
@@ -96,38 +96,38 @@
      * answer keeps its buffer, which the caller gives back. If the connection breaks or falls silent behind a served row or
      * an error, that stands all the same.
      */
-    Answer receive(ServerStatus.Form form, Deadlines deadlines) throws IOException, ProtocolException {
-        byte[] head = new byte[Message.HEAD];
-        int got = channel.read(ByteBuffer.wrap(head));
-        Answer answer = new Answer(buffers.take(), form);
-        boolean kept = false;
-        Deadlines.Deadline rest = null;
+    Answer receive(ServerStatus.ReportFormat reportFormat, Deadlines deadlines) throws IOException, ProtocolException {
+        byte[] header = new byte[MessageBuilder.HEADER_BYTES];
+        int got = channel.read(ByteBuffer.wrap(header));
+        Answer answer = new Answer(buffers.acquire(), reportFormat);
+        boolean usable = false;
+        Deadlines.Deadline trailerDeadline = null;
         try {
-            ByteBuffer in = ByteBuffer.wrap(answer.buffer).put(head, 0, Math.max(0, got));
+            ByteBuffer in = ByteBuffer.wrap(answer.buffer).put(header, 0, Math.max(0, got));
             while (got >= 0 && !answer.parse(in.position())) {
                 if (!in.hasRemaining()) {
                     throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "an answer without end");
                 }
-                if (rest == null && (answer.served() || answer.sqlState() != null)) {
-                    rest = deadlines.after(REST_NS, this::close);
+                if (trailerDeadline == null && (answer.isServed() || answer.sqlState() != null)) {
+                    trailerDeadline = deadlines.after(TRAILER_TIMEOUT_NS, this::close);
                 }
                 got = channel.read(in);
             }
             if (got < 0) {
                 throw new EOFException("the server closed the connection");
             }
-            kept = true;
+            usable = true;
         } catch (IOException e) {
-            kept = answer.served() || answer.sqlState() != null;
-            if (!kept) {
+            usable = answer.isServed() || answer.sqlState() != null;
+            if (!usable) {
                 throw e;
             }
         } finally {
-            if (rest != null) {
-                deadlines.cancel(rest);
+            if (trailerDeadline != null) {
+                deadlines.cancel(trailerDeadline);
             }
-            if (!kept) {
-                buffers.give(answer.buffer);
+            if (!usable) {
+                buffers.release(answer.buffer);
             }
         }
         return answer;
@@ -137,43 +137,43 @@
      * Passes an answer whose long row has begun on to its end, or its value alone, as it comes, through its one buffer;
      * {@code by}: the end of the request's time on the {@link Clock}.
      */
-    void relay(Answer answer, OutputStream out, boolean messages, Deadlines deadlines, long by)
+    void relay(Answer answer, OutputStream out, boolean withMessages, Deadlines deadlines, long deadlineNs)
             throws IOException, ProtocolException {
-        long left = answer.toCome();
-        ByteBuffer in = ByteBuffer.wrap(answer.buffer).position(answer.beginTo(out, messages));
-        while (left > 0) {
-            read(in.clear().limit((int) Math.min(left, in.capacity())), deadlines, by);
-            left -= in.position();
+        long remaining = answer.remainingRowBytes();
+        ByteBuffer in = ByteBuffer.wrap(answer.buffer).position(answer.writeBuffered(out, withMessages));
+        while (remaining > 0) {
+            read(in.clear().limit((int) Math.min(remaining, in.capacity())), deadlines, deadlineNs);
+            remaining -= in.position();
             out.write(answer.buffer, 0, in.position());
             in.position(0);
         }
         in.limit(in.capacity());
         while (!answer.parse(in.position())) {
-            read(in, deadlines, by);
+            read(in, deadlines, deadlineNs);
         }
-        if (!answer.served()) {
+        if (!answer.isServed()) {
             throw new IOException("the server broke a long answer off");
         }
-        if (messages) {
-            answer.endTo(out);
+        if (withMessages) {
+            answer.writeEnd(out);
         }
     }
 
     /** Some more of an answer that has begun; only silence ends it, however long it takes, but sooner when it is late. */
-    private void read(ByteBuffer in, Deadlines deadlines, long by) throws IOException {
-        long left = by + PAST_NS - deadlines.now();
-        Deadlines.Deadline silent = deadlines.after(Math.max(SILENT_LEAST_NS, Math.min(SILENT_NS, left)), this::close);
+    private void read(ByteBuffer in, Deadlines deadlines, long deadlineNs) throws IOException {
+        long remainingNs = deadlineNs + LATE_GRACE_NS - deadlines.now();
+        Deadlines.Deadline stallDeadline = deadlines.after(Math.max(MIN_STALL_TIMEOUT_NS, Math.min(STALL_TIMEOUT_NS, remainingNs)), this::close);
         try {
             if (channel.read(in) <= 0) {
                 throw new EOFException("the server closed the connection within a long answer");
             }
         } finally {
-            deadlines.cancel(silent);
+            deadlines.cancel(stallDeadline);
         }
     }
 
     @Override
-    public long store() {
+    public long serverId() {
         return store;
     }
 
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public boolean clean() {
+    public boolean isReusable() {
         try {
             channel.configureBlocking(false);
             int got = channel.read(ByteBuffer.allocate(1));
--- a/pooler/src/main/java/holdmux/pg/ServerPool.java
+++ b/pooler/src/main/java/holdmux/pg/ServerPool.java
@@ -7,13 +7,13 @@
 import holdmux.core.Counters.Counter;
 import holdmux.core.Deadlines;
 import holdmux.core.Deadlines.Deadline;
-import holdmux.core.Fleet;
+import holdmux.core.ServerRegistry;
 import holdmux.core.IdleConnections;
 import holdmux.core.Reply;
 import holdmux.core.ServerSlots;
 import holdmux.core.ServerStatus;
 import holdmux.decision.SplitterApi.Outcome;
-import holdmux.statement.Buffers;
+import holdmux.statement.BufferPool;
 import holdmux.statement.SqlState;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -28,34 +28,34 @@
 /** Talks to servers, one request at a time on a connection; keeps connections while idle. */
 final class ServerPool {
     /** Holds a startup packet. */
-    private static final int OWN_MESSAGES = 128;
+    private static final int STARTUP_BYTES = 128;
 
-    private final Fleet fleet;
+    private final ServerRegistry registry;
     private final Clock clock;
     private final Deadlines deadlines;
     private final Counters counters;
-    private final Buffers buffers;
+    private final BufferPool buffers;
     private final Supplier<Deployment> deployment;
-    private final ServerStatus.Form form;
+    private final ServerStatus.ReportFormat reportFormat;
     private final ServerSlots slots;
     private final IdleConnections<ServerConnection> idle;
     /** Connections of answers that have begun and are still to be passed on. */
-    private final Map<Answer, Begun> begun = new ConcurrentHashMap<>();
+    private final Map<Answer, OpenStream> openStreams = new ConcurrentHashMap<>();
 
     /** {@code by}: the end of the attempt's time. */
-    private record Begun(ServerConnection connection, long by) {}
+    private record OpenStream(ServerConnection connection, long deadlineNs) {}
 
-    ServerPool(Fleet fleet, Clock clock, Deadlines deadlines, Counters counters, Buffers buffers,
+    ServerPool(ServerRegistry registry, Clock clock, Deadlines deadlines, Counters counters, BufferPool buffers,
             Supplier<Deployment> deployment, ServerSlots slots) {
-        this.fleet = fleet;
+        this.registry = registry;
         this.clock = clock;
         this.deadlines = deadlines;
         this.counters = counters;
         this.buffers = buffers;
         this.deployment = deployment;
-        form = ServerStatus.Form.of(deployment.get());
+        reportFormat = ServerStatus.ReportFormat.of(deployment.get());
         this.slots = slots;
-        idle = new IdleConnections<>(fleet, clock, deadlines, counters, slots, () -> deployment.get().connIdleNs());
+        idle = new IdleConnections<>(registry, clock, deadlines, counters, slots, () -> deployment.get().connIdleNs());
     }
 
     /**
@@ -63,19 +63,19 @@
      *
      * @param withheld counts queries that were not written, since what they were decided on no longer held
      */
-    Reply talk(Attempt attempt, List<ByteBuffer> query, Counter withheld, Function<Answer, Reply> heard) {
+    Reply exchange(Attempt attempt, List<ByteBuffer> query, Counter withheldCounter, Function<Answer, Reply> toReply) {
         ServerConnection connection = null;
-        boolean clean = false;
-        boolean kept = false;
+        boolean reusable = false;
+        boolean streaming = false;
         try {
-            connection = idle.take(attempt.store);
+            connection = idle.take(attempt.serverId);
             if (connection != null) {
                 counters.count(Counter.SERVER_REUSES);
-                if (!attempt.carriedBy(connection)) {
-                    return Reply.of(attempt.broken());
+                if (!attempt.attachConnection(connection)) {
+                    return Reply.of(attempt.failDisconnected());
                 }
             } else {
-                connection = connection(attempt.store);
+                connection = newConnection(attempt.serverId);
                 if (connection == null) {
                     return Reply.of(Outcome.MOOT); // never sent, and the server is not to blame
                 }
@@ -85,33 +85,33 @@
                     return Reply.of(full ? Outcome.FULL : Outcome.CONNECT_FAILED);
                 }
             }
-            attempt.connected();
-            if (!connection.send(query, attempt::stands)) {
-                counters.count(withheld);
-                clean = attempt.complete();
+            attempt.markConnected();
+            if (!connection.send(query, attempt::mayWrite)) {
+                counters.count(withheldCounter);
+                reusable = attempt.complete();
                 return Reply.of(Outcome.MOOT);
             }
-            attempt.written();
-            Answer answer = connection.receive(form, deadlines);
-            boolean uncut = attempt.complete();
-            clean = uncut && answer.whole();
-            if (answer.begun() && !uncut) {
-                giveBack(answer); // its connection was closed meanwhile
-                return Reply.of(attempt.broken());
+            attempt.markWritten();
+            Answer answer = connection.receive(reportFormat, deadlines);
+            boolean inTime = attempt.complete();
+            reusable = inTime && answer.endedCleanly();
+            if (answer.isStreaming() && !inTime) {
+                releaseAnswer(answer); // its connection was closed meanwhile
+                return Reply.of(attempt.failDisconnected());
             }
-            kept = answer.begun();
-            if (kept) {
-                begun.put(answer, new Begun(connection, attempt.startedAt + attempt.limitNs));
+            streaming = answer.isStreaming();
+            if (streaming) {
+                openStreams.put(answer, new OpenStream(connection, attempt.startedAt + attempt.timeoutNs));
             }
-            return heard.apply(answer);
-        } catch (Buffers.NoneFree e) {
+            return toReply.apply(answer);
+        } catch (BufferPool.ExhaustedException e) {
             counters.count(Counter.OVER_CAPACITY);
-            return Reply.of(attempt.droppedHere());
+            return Reply.of(attempt.failLocally());
         } catch (IOException | ProtocolException e) {
-            return Reply.of(attempt.broken());
+            return Reply.of(attempt.failDisconnected());
         } finally {
-            if (connection != null && !kept) {
-                release(connection, clean);
+            if (connection != null && !streaming) {
+                releaseConnection(connection, reusable);
             }
         }
     }
@@ -120,64 +120,64 @@
      * Passes on the rest of an answer whose long row has begun, with the messages round its value or that alone; the
      * client can tell if it does not come whole.
      */
-    void relay(Answer answer, OutputStream out, boolean messages) throws IOException {
-        Begun of = begun.remove(answer);
-        boolean clean = false;
+    void relay(Answer answer, OutputStream out, boolean withMessages) throws IOException {
+        OpenStream stream = openStreams.remove(answer);
+        boolean reusable = false;
         try {
-            of.connection().relay(answer, out, messages, deadlines, of.by());
-            clean = answer.whole();
+            stream.connection().relay(answer, out, withMessages, deadlines, stream.deadlineNs());
+            reusable = answer.endedCleanly();
         } catch (ProtocolException e) {
             throw new IOException("a long answer was spoilt", e);
         } finally {
-            release(of.connection(), clean);
+            releaseConnection(stream.connection(), reusable);
         }
     }
 
     /** Null, or the SQLSTATE with which the server turned the connection away. */
     private String open(ServerConnection connection, Attempt attempt) throws IOException, ProtocolException {
         counters.count(Counter.SERVER_CONNECTS);
-        if (!attempt.carriedBy(connection)) {
+        if (!attempt.attachConnection(connection)) {
             throw new IOException("cut off before it was sent");
         }
-        long waitNs = Math.min(deployment.get().connectTimeoutNs(), attempt.startedAt + attempt.limitNs - clock.now());
-        Deadline timeOut = deadlines.after(deployment.get().connectTimeoutNs(), () -> attempt.cut(Outcome.CONNECT_FAILED));
+        long waitNs = Math.min(deployment.get().connectTimeoutNs(), attempt.startedAt + attempt.timeoutNs - clock.now());
+        Deadline timeOut = deadlines.after(deployment.get().connectTimeoutNs(), () -> attempt.abort(Outcome.CONNECT_FAILED));
         try {
             connection.connect(waitNs);
-            connection.send(List.of(new Message(new byte[OWN_MESSAGES]).beginUntyped().put(Message.PROTOCOL_3).put("user")
+            connection.send(List.of(new MessageBuilder(new byte[STARTUP_BYTES]).beginUntyped().put(MessageBuilder.PROTOCOL_3).put("user")
                     .put("holdmux").put("database").put("crm").put('\0').end().bytes()), () -> true);
-            Answer greeting = connection.receive(form, deadlines);
-            buffers.give(greeting.buffer);
-            return greeting.sqlState();
+            Answer response = connection.receive(reportFormat, deadlines);
+            buffers.release(response.buffer);
+            return response.sqlState();
         } finally {
             deadlines.cancel(timeOut);
         }
     }
 
-    /** Gives back what an answer holds that {@link #talk} handed on. */
-    void giveBack(Answer answer) {
-        Begun unread = begun.remove(answer);
-        if (unread != null) {
-            idle.discard(unread.connection());
+    /** Gives back what an answer holds that {@link #exchange} handed on. */
+    void releaseAnswer(Answer answer) {
+        OpenStream stream = openStreams.remove(answer);
+        if (stream != null) {
+            idle.discard(stream.connection());
         }
-        buffers.give(answer.buffer);
+        buffers.release(answer.buffer);
     }
 
     /** A new connection, not yet opened; null if the server is gone or this pooler holds all it may. */
-    private ServerConnection connection(long store) throws IOException {
-        InetSocketAddress address = fleet.address(store);
+    private ServerConnection newConnection(long serverId) throws IOException {
+        InetSocketAddress address = registry.address(serverId);
         if (address == null || !idle.reserve()) {
             return null;
         }
         try {
-            return new ServerConnection(store, address, buffers);
+            return new ServerConnection(serverId, address, buffers);
         } catch (IOException e) {
-            slots.unreserve();
+            slots.release();
             throw e;
         }
     }
 
-    private void release(ServerConnection connection, boolean clean) {
-        if (clean) {
+    private void releaseConnection(ServerConnection connection, boolean reusable) {
+        if (reusable) {
             idle.keep(connection);
         } else {
             idle.discard(connection);
@@ -185,7 +185,7 @@
     }
 
     /** Closes all idle connections to a server. */
-    void closeAllIdle(long store) {
-        idle.closeAll(store);
+    void closeAllIdle(long serverId) {
+        idle.closeAll(serverId);
     }
 }
--- a/pooler/src/main/java/holdmux/simhost/SimHost.java
+++ b/pooler/src/main/java/holdmux/simhost/SimHost.java
@@ -20,19 +20,19 @@
 /** Hosts the instances of the decision module on the simulator's wire. */
 public final class SimHost implements WireReader.Sink {
     /** One front: its module and what came in for it in this batch. */
-    private static final class Front {
+    private static final class HostedInstance {
         final ReadWriteSplitter splitter;
         final long zeroNs;
         final List<Event> events = new ArrayList<>();
 
-        Front(Settings settings, long seed) {
+        HostedInstance(Settings settings, long seed) {
             splitter = new ReadWriteSplitter(settings, seed);
             zeroNs = settings.zeroNs();
         }
     }
 
-    private final Map<Integer, Front> fronts = new HashMap<>();
-    private final List<Integer> touched = new ArrayList<>();
+    private final Map<Integer, HostedInstance> instances = new HashMap<>();
+    private final List<Integer> pendingInstances = new ArrayList<>();
 
     /** Plays batches from standard input until it ends; the exit status. */
     public static int run() {
@@ -42,7 +42,7 @@
 
     static int run(InputStream in, OutputStream out, java.io.PrintStream err) {
         try {
-            new SimHost().play(in, out);
+            new SimHost().processBatches(in, out);
             return 0;
         } catch (IOException | WireException | ConfigException e) {
             err.println("holdmux: " + e.getMessage());
@@ -50,57 +50,57 @@
         }
     }
 
-    private void play(InputStream in, OutputStream out) throws IOException {
+    private void processBatches(InputStream in, OutputStream out) throws IOException {
         WireReader reader = new WireReader(in);
         WireWriter writer = new WireWriter();
-        while (reader.next()) {
+        while (reader.readBatch()) {
             reader.decode(this);
-            writer.begin();
-            for (int instance : touched) {
-                Front front = fronts.get(instance);
-                if (front != null && !front.events.isEmpty()) {
-                    step(instance, front, reader.clock(), writer);
+            writer.beginReply();
+            for (int instance : pendingInstances) {
+                HostedInstance hosted = instances.get(instance);
+                if (hosted != null && !hosted.events.isEmpty()) {
+                    step(instance, hosted, reader.batchTimeNs(), writer);
                 }
             }
-            touched.clear();
+            pendingInstances.clear();
             writer.flushTo(out);
         }
     }
 
-    private static void step(int instance, Front front, long now, WireWriter writer) {
+    private static void step(int instance, HostedInstance hosted, long now, WireWriter writer) {
         try {
-            front.splitter.handle(now, front.events, action -> writer.write(instance, action));
+            hosted.splitter.handle(now, hosted.events, action -> writer.write(instance, action));
         } catch (RuntimeException e) {
             writer.crash(instance, e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
         }
-        front.events.clear();
+        hosted.events.clear();
     }
 
     @Override
     public void spawn(int instance, long seed, String config) {
-        fronts.put(instance, new Front(SettingsReader.read(config), seed));
+        instances.put(instance, new HostedInstance(SettingsReader.read(config), seed));
     }
 
     @Override
     public void killed(int instance) {
-        fronts.remove(instance);
+        instances.remove(instance);
     }
 
     @Override
     public void event(int instance, Event event) {
-        Front front = fronts.get(instance);
-        if (front == null) {
+        HostedInstance hosted = instances.get(instance);
+        if (hosted == null) {
             return;
         }
-        if (front.events.isEmpty()) {
-            touched.add(instance);
+        if (hosted.events.isEmpty()) {
+            pendingInstances.add(instance);
         }
-        front.events.add(event);
+        hosted.events.add(event);
     }
 
     @Override
     public long zeroNs(int instance) {
-        Front front = fronts.get(instance);
-        return front == null ? 0 : front.zeroNs;
+        HostedInstance hosted = instances.get(instance);
+        return hosted == null ? 0 : hosted.zeroNs;
     }
 }
--- a/pooler/src/main/java/holdmux/simhost/WireReader.java
+++ b/pooler/src/main/java/holdmux/simhost/WireReader.java
@@ -37,52 +37,52 @@
         long zeroNs(int instance);
     }
 
-    private static final int HEADER = 16;
-    private static final int LINE = 27;
+    private static final int HEADER_BYTES = 16;
+    private static final int LISTING_BYTES = 27;
     private static final float[] NO_REPORT = new float[0];
     private static final long NS_PER_MS = 1_000_000L;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     private final InputStream in;
-    private final List<List<Listing>> rosters = new ArrayList<>();
+    private final List<List<Listing>> serverLists = new ArrayList<>();
     private ByteBuffer frame = ByteBuffer.allocate(1 << 16);
     private int records;
 
     WireReader(InputStream in) {
         this.in = in;
         for (int i = 0; i < 16; i++) {
-            rosters.add(null);
+            serverLists.add(null);
         }
     }
 
     /** Reads a whole frame; false at the end of input. */
-    boolean next() throws IOException {
+    boolean readBatch() throws IOException {
         frame.clear();
-        int got = in.readNBytes(frame.array(), 0, HEADER);
-        if (got == 0) {
+        int bytesRead = in.readNBytes(frame.array(), 0, HEADER_BYTES);
+        if (bytesRead == 0) {
             return false;
         }
-        if (got < HEADER) {
+        if (bytesRead < HEADER_BYTES) {
             throw new EOFException("the input ends inside a batch header");
         }
         int length = frame.getInt(8);
         records = frame.getInt(12);
-        if (length < HEADER || records < 0) {
+        if (length < HEADER_BYTES || records < 0) {
             throw new WireException("a batch header states length " + length + " and " + records + " records");
         }
         if (length > frame.capacity()) {
             ByteBuffer larger = ByteBuffer.allocate(Math.max(length, 2 * frame.capacity()));
-            System.arraycopy(frame.array(), 0, larger.array(), 0, HEADER);
+            System.arraycopy(frame.array(), 0, larger.array(), 0, HEADER_BYTES);
             frame = larger;
         }
-        if (in.readNBytes(frame.array(), HEADER, length - HEADER) < length - HEADER) {
+        if (in.readNBytes(frame.array(), HEADER_BYTES, length - HEADER_BYTES) < length - HEADER_BYTES) {
             throw new EOFException("the input ends inside a batch");
         }
-        frame.position(HEADER).limit(length);
+        frame.position(HEADER_BYTES).limit(length);
         return true;
     }
 
-    long clock() {
+    long batchTimeNs() {
         return frame.getLong(0);
     }
 
@@ -90,7 +90,7 @@
     void decode(Sink sink) {
         try {
             for (int i = 0; i < records; i++) {
-                record(sink);
+                decodeRecord(sink);
             }
         } catch (BufferUnderflowException e) {
             throw new WireException("a record runs past the end of its batch");
@@ -100,7 +100,7 @@
         }
     }
 
-    private void record(Sink sink) {
+    private void decodeRecord(Sink sink) {
         int code = frame.getShort() & 0xffff;
         if (code == 1050) {
             register();
@@ -168,38 +168,38 @@
 
     private ListChanged targets() {
         long generation = frame.getInt() & 0xffffffffL;
-        int roster = u8();
-        int kind = u8();
-        if (kind > 3) {
-            throw new WireException("a targets event has the unknown mode " + kind);
+        int listNumber = u8();
+        int modeCode = u8();
+        if (modeCode > 3) {
+            throw new WireException("a targets event has the unknown mode " + modeCode);
         }
-        ListMode mode = ListMode.values()[kind];
+        ListMode mode = ListMode.values()[modeCode];
         if (mode == ListMode.FAILED) {
             return new ListChanged(mode, generation, List.of());
         }
-        if (roster >= rosters.size() || rosters.get(roster) == null) {
-            throw new WireException("a targets event names list " + roster + ", which was not given");
+        if (listNumber >= serverLists.size() || serverLists.get(listNumber) == null) {
+            throw new WireException("a targets event names list " + listNumber + ", which was not given");
         }
-        return new ListChanged(mode, generation, rosters.get(roster));
+        return new ListChanged(mode, generation, serverLists.get(listNumber));
     }
 
     private void register() {
-        int roster = u8();
+        int listNumber = u8();
         int count = frame.getInt();
-        if (roster >= rosters.size()) {
-            throw new WireException("a register event has the list number " + roster);
+        if (listNumber >= serverLists.size()) {
+            throw new WireException("a register event has the list number " + listNumber);
         }
-        if (count < 0 || (long) count * LINE > frame.remaining()) {
+        if (count < 0 || (long) count * LISTING_BYTES > frame.remaining()) {
             throw new WireException("a register event counts " + count + " lines, more than its batch holds");
         }
-        List<Listing> lines = new ArrayList<>(count);
+        List<Listing> listings = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            lines.add(line());
+            listings.add(listing());
         }
-        rosters.set(roster, List.copyOf(lines));
+        serverLists.set(listNumber, List.copyOf(listings));
     }
 
-    private Listing line() {
+    private Listing listing() {
         boolean writer = frame.getFloat() == 1f;
         int zone = u8();
         int availability = u8();
@@ -215,12 +215,12 @@
     }
 
     private float[] report() {
-        int n = u8();
-        if (n == 0) {
+        int count = u8();
+        if (count == 0) {
             return NO_REPORT;
         }
-        float[] values = new float[n];
-        for (int i = 0; i < n; i++) {
+        float[] values = new float[count];
+        for (int i = 0; i < count; i++) {
             values[i] = frame.getFloat();
         }
         return values;
--- a/pooler/src/main/java/holdmux/simhost/WireWriter.java
+++ b/pooler/src/main/java/holdmux/simhost/WireWriter.java
@@ -20,52 +20,52 @@
 
 /** Writes replies of the simulator's wire: actions to bytes. */
 final class WireWriter {
-    private static final int HEADER = 8;
-    private static final int MAX_FIXED = 64;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_FIXED_BYTES = 64;
 
     private ByteBuffer frame = ByteBuffer.allocate(1 << 14);
     private int records;
 
-    void begin() {
-        frame.clear().position(HEADER);
+    void beginReply() {
+        frame.clear().position(HEADER_BYTES);
         records = 0;
     }
 
     void write(int instance, Action action) {
         if (action instanceof Transmit a) {
-            head(1000, instance).putLong(a.id());
+            beginRecord(1000, instance).putLong(a.id());
             store(a.store()).putLong(a.limitNs());
         } else if (action instanceof Schedule a) {
-            head(1040, instance).putLong(a.afterNs()).putInt(a.handle());
+            beginRecord(1040, instance).putLong(a.afterNs()).putInt(a.handle());
         } else if (action instanceof Inspect a) {
-            head(1050, instance);
+            beginRecord(1050, instance);
             store(a.store());
         } else if (action instanceof Retract a) {
-            head(1030, instance).putLong(a.id()).put((byte) a.attempt());
+            beginRecord(1030, instance).putLong(a.id()).put((byte) a.attempt());
         } else if (action instanceof Decline a) {
-            head(1010, instance).putLong(a.id()).putLong(a.waitNs());
+            beginRecord(1010, instance).putLong(a.id()).putLong(a.waitNs());
         } else if (action instanceof RespondError a) {
-            head(1020, instance).putLong(a.id());
+            beginRecord(1020, instance).putLong(a.id());
         } else if (action instanceof CloseIdle a) {
-            head(1060, instance);
+            beginRecord(1060, instance);
             store(a.store());
         } else if (action instanceof MemoTo a) {
-            head(1070, instance).putShort((short) a.peer());
+            beginRecord(1070, instance).putShort((short) a.peer());
             bytes(a.body());
         } else if (action instanceof Remark a) {
-            head(1080, instance);
+            beginRecord(1080, instance);
             bytes(a.words().getBytes(StandardCharsets.UTF_8));
         } else if (action instanceof Subscribe a) {
-            head(1100, instance).put((byte) (a.enable() ? 1 : 0));
+            beginRecord(1100, instance).put((byte) (a.enable() ? 1 : 0));
         } else if (action instanceof ListAll) {
-            head(1110, instance);
+            beginRecord(1110, instance);
         }
     }
 
     /** Reports that the decision code of an instance broke. */
-    void crash(int instance, String words) {
-        head(1090, instance);
-        bytes(words.getBytes(StandardCharsets.UTF_8));
+    void crash(int instance, String message) {
+        beginRecord(1090, instance);
+        bytes(message.getBytes(StandardCharsets.UTF_8));
     }
 
     void flushTo(OutputStream out) throws IOException {
@@ -74,8 +74,8 @@
         out.flush();
     }
 
-    private ByteBuffer head(int code, int instance) {
-        room(MAX_FIXED);
+    private ByteBuffer beginRecord(int code, int instance) {
+        ensureRemaining(MAX_FIXED_BYTES);
         records++;
         return frame.putShort((short) code).putInt(instance);
     }
@@ -85,11 +85,11 @@
     }
 
     private void bytes(byte[] value) {
-        room(2 + value.length);
+        ensureRemaining(2 + value.length);
         frame.putShort((short) value.length).put(value);
     }
 
-    private void room(int needed) {
+    private void ensureRemaining(int needed) {
         if (frame.remaining() < needed) {
             int size = Math.max(2 * frame.capacity(), frame.position() + needed);
             frame = ByteBuffer.wrap(Arrays.copyOf(frame.array(), size)).position(frame.position());
--- a/pooler/src/main/java/holdmux/statement/Text.java
+++ b/pooler/src/main/java/holdmux/statement/ChunkedText.java
@@ -8,40 +8,40 @@
 import java.util.List;
 
 /** Bytes that lie in one array or, where they are too many, in a chain of pooled buffers, all full but the last. */
-public final class Text {
+public final class ChunkedText {
     private static final int WINDOW = 4_096;
 
     private final List<byte[]> parts;
     private final boolean pooled;
     public final int length;
 
-    /** {@code pooled}: the parts are buffers of {@link Buffers#SIZE}. */
-    public Text(List<byte[]> parts, int length, boolean pooled) {
+    /** {@code pooled}: the parts are buffers of {@link BufferPool#BUFFER_SIZE}. */
+    public ChunkedText(List<byte[]> parts, int length, boolean pooled) {
         this.parts = parts;
         this.length = length;
         this.pooled = pooled;
     }
 
-    public static Text of(byte[] bytes, int length) {
-        return new Text(List.of(bytes), length, false);
+    public static ChunkedText of(byte[] bytes, int length) {
+        return new ChunkedText(List.of(bytes), length, false);
     }
 
     /** The same bytes without the last. */
-    public Text butLast() {
-        return new Text(parts, length - 1, pooled);
+    public ChunkedText withoutLastByte() {
+        return new ChunkedText(parts, length - 1, pooled);
     }
 
-    public byte at(int place) {
-        return pooled ? parts.get(place / Buffers.SIZE)[place % Buffers.SIZE] : parts.get(0)[place];
+    public byte byteAt(int index) {
+        return pooled ? parts.get(index / BufferPool.BUFFER_SIZE)[index % BufferPool.BUFFER_SIZE] : parts.get(0)[index];
     }
 
     /** The first place from here on that holds this byte; {@link #length} if none does. */
-    public int find(char wanted, int from) {
+    public int indexOfOrEnd(char target, int from) {
         for (ByteBuffer view : views(from, length)) {
             byte[] part = view.array();
             int end = view.limit();
             for (int i = view.position(); i < end; i++) {
-                if (part[i] == wanted) {
+                if (part[i] == target) {
                     return from + i - view.position();
                 }
             }
@@ -50,7 +50,7 @@
         return length;
     }
 
-    public String string(int from, int to) {
+    public String substring(int from, int to) {
         byte[] bytes = new byte[Math.max(0, to - from)];
         ByteBuffer copy = ByteBuffer.wrap(bytes);
         views(from, from + bytes.length).forEach(copy::put);
@@ -60,7 +60,7 @@
     /** The bytes between two places, where they lie. */
     public List<ByteBuffer> views(int from, int to) {
         List<ByteBuffer> views = new ArrayList<>();
-        int size = pooled ? Buffers.SIZE : Math.max(1, length);
+        int size = pooled ? BufferPool.BUFFER_SIZE : Math.max(1, length);
         for (int at = from; at < to;) {
             int end = Math.min(to, (at / size + 1) * size);
             views.add(ByteBuffer.wrap(parts.get(at / size), at % size, end - at));
@@ -70,7 +70,7 @@
     }
 
     public boolean isUtf8() {
-        return isAscii() || decodes();
+        return isAscii() || decodesAsUtf8();
     }
 
     private boolean isAscii() {
@@ -86,29 +86,29 @@
         return true;
     }
 
-    private boolean decodes() {
+    private boolean decodesAsUtf8() {
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder();
         ByteBuffer window = ByteBuffer.allocate(WINDOW);
-        CharBuffer sink = CharBuffer.allocate(WINDOW);
+        CharBuffer discarded = CharBuffer.allocate(WINDOW);
         for (ByteBuffer view : views(0, length)) {
             while (view.hasRemaining()) {
-                int taken = Math.min(window.remaining(), view.remaining());
-                window.put(view.slice(view.position(), taken));
-                view.position(view.position() + taken);
-                sink.clear();
-                if (decoder.decode(window.flip(), sink, false).isError()) {
+                int count = Math.min(window.remaining(), view.remaining());
+                window.put(view.slice(view.position(), count));
+                view.position(view.position() + count);
+                discarded.clear();
+                if (decoder.decode(window.flip(), discarded, false).isError()) {
                     return false;
                 }
                 window.compact(); // what begins here may end in the next part
             }
         }
-        return !decoder.decode(window.flip(), sink.clear(), true).isError();
+        return !decoder.decode(window.flip(), discarded.clear(), true).isError();
     }
 
     /** Gives back the buffers it lies in. */
-    public void release(Buffers buffers) {
+    public void release(BufferPool buffers) {
         if (pooled) {
-            parts.forEach(buffers::give);
+            parts.forEach(buffers::release);
         }
     }
 }
--- a/pooler/src/main/java/holdmux/statement/Statement.java
+++ b/pooler/src/main/java/holdmux/statement/Statement.java
@@ -13,44 +13,44 @@
  */
 public final class Statement {
     /** Longest literal taken: a value of 4 MiB in hexadecimal behind its {@code \x}. */
-    public static final int MOST_LITERAL = 2 + 2 * 4 * 1024 * 1024;
+    public static final int MAX_LITERAL_BYTES = 2 + 2 * 4 * 1024 * 1024;
     /** Longest key taken, the first literal: what is looked up is a short code. */
-    private static final int MOST_KEY = 64 * 1024;
+    private static final int MAX_KEY_BYTES = 64 * 1024;
     /** Longest comment read: its few short values fit many times over. */
-    private static final int MOST_COMMENT = 1_024;
+    private static final int MAX_COMMENT_BYTES = 1_024;
     /** Longest statement: the longest literal and what else there may be. */
-    public static final int MOST = MOST_LITERAL + MOST_KEY + 2 * MOST_COMMENT;
+    public static final int MAX_BYTES = MAX_LITERAL_BYTES + MAX_KEY_BYTES + 2 * MAX_COMMENT_BYTES;
 
     public final boolean write;
     /** The first quoted literal: the key, which names the session in classes that have sessions. */
     public final String key;
     public final String className;
     public final boolean retry;
-    public final long waitMs;
+    public final long timeoutMs;
     public final int group;
     /** The carried position of the session's last write in Unix milliseconds; 0 for none. */
-    public final long afterMs;
-    private final Text text;
+    public final long positionMs;
+    private final ChunkedText text;
     /** Where the value of d lies in the text. */
-    private final int waitFrom, waitTo;
+    private final int timeoutFrom, timeoutTo;
 
-    private Statement(Text text, boolean write, String key, Map<String, String> values, int waitFrom, int waitTo)
+    private Statement(ChunkedText text, boolean write, String key, Map<String, String> values, int timeoutFrom, int timeoutTo)
             throws StatementException {
         this.text = text;
         this.write = write;
         this.key = key;
-        this.waitFrom = waitFrom;
-        this.waitTo = waitTo;
+        this.timeoutFrom = timeoutFrom;
+        this.timeoutTo = timeoutTo;
         required(values, "id");
         className = required(values, "c");
-        waitMs = number(values, "d", 1, 3_600_000); // an hour: no client waits longer, and sums cannot overflow
-        group = (int) number(values, "cluster", 0, 65_535); // the module's numbering on the simulator's wire
-        afterMs = values.containsKey("after") ? number(values, "after", 0, Long.MAX_VALUE / 2_000_000) : 0;
+        timeoutMs = parseNumber(values, "d", 1, 3_600_000); // an hour: no client waits longer, and sums cannot overflow
+        group = (int) parseNumber(values, "cluster", 0, 65_535); // the module's numbering on the simulator's wire
+        positionMs = values.containsKey("after") ? parseNumber(values, "after", 0, Long.MAX_VALUE / 2_000_000) : 0;
         retry = values.getOrDefault("r", "0").equals("1");
     }
 
     /** Parses a statement in UTF-8, which it keeps. */
-    public static Statement parse(Text text) throws StatementException {
+    public static Statement parse(ChunkedText text) throws StatementException {
         if (!text.isUtf8()) {
             throw new StatementException(SqlState.CHARACTER_NOT_IN_REPERTOIRE, "the statement is not UTF-8");
         }
@@ -60,43 +60,43 @@
             throw new StatementException(SqlState.SYNTAX_ERROR, "only SELECT and INSERT are served here");
         }
         String key = null;
-        int from = -1;
-        for (int i = 0; i < length && from < 0; i++) {
-            byte here = text.at(i);
-            if (here == '\'') {
+        int commentFrom = -1;
+        for (int i = 0; i < length && commentFrom < 0; i++) {
+            byte current = text.byteAt(i);
+            if (current == '\'') {
                 int end = closingQuote(text, i + 1);
-                if (end - i - 1 > (key == null ? MOST_KEY : MOST_LITERAL)) {
+                if (end - i - 1 > (key == null ? MAX_KEY_BYTES : MAX_LITERAL_BYTES)) {
                     throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED, "a value over 4 MiB");
                 }
-                key = key != null ? key : text.string(i + 1, end);
+                key = key != null ? key : text.substring(i + 1, end);
                 i = end;
-            } else if (here == ';') {
+            } else if (current == ';') {
                 throw new StatementException(SqlState.SYNTAX_ERROR, "one statement per query");
-            } else if (here == '/' && i + 1 < length && text.at(i + 1) == '*') {
-                from = i + 2;
+            } else if (current == '/' && i + 1 < length && text.byteAt(i + 1) == '*') {
+                commentFrom = i + 2;
             }
         }
-        int to = length - 2;
-        if (key == null || from < 0 || to < from || text.at(to) != '*' || text.at(to + 1) != '/') {
+        int commentTo = length - 2;
+        if (key == null || commentFrom < 0 || commentTo < commentFrom || text.byteAt(commentTo) != '*' || text.byteAt(commentTo + 1) != '/') {
             throw new StatementException(SqlState.SYNTAX_ERROR, "the statement must name a key and end in a comment");
         }
-        return parseComment(text, write, key, from, to);
+        return parseComment(text, write, key, commentFrom, commentTo);
     }
 
-    private static Statement parseComment(Text text, boolean write, String key, int from, int to)
+    private static Statement parseComment(ChunkedText text, boolean write, String key, int from, int to)
             throws StatementException {
-        if (to - from > MOST_COMMENT) {
+        if (to - from > MAX_COMMENT_BYTES) {
             throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED, "the comment is too long");
         }
         // one char a byte, so that places in the string are places in the text
         StringBuilder chars = new StringBuilder();
         for (int i = from; i < to; i++) {
-            chars.append((char) (text.at(i) & 0xff));
+            chars.append((char) (text.byteAt(i) & 0xff));
         }
         String comment = chars.toString();
         Map<String, String> values = new HashMap<>();
-        int waitFrom = 0;
-        int waitTo = 0;
+        int timeoutFrom = 0;
+        int timeoutTo = 0;
         for (int at = 0; at <= comment.length();) {
             int comma = comment.indexOf(',', at);
             int end = comma < 0 ? comment.length() : comma;
@@ -110,26 +110,26 @@
                 throw new StatementException(SqlState.SYNTAX_ERROR, "the comment names a value twice");
             }
             if (name.equals("d")) {
-                waitFrom = from + comment.indexOf(value, equals + 1);
-                waitTo = waitFrom + value.length();
+                timeoutFrom = from + comment.indexOf(value, equals + 1);
+                timeoutTo = timeoutFrom + value.length();
             }
             at = end + 1;
         }
-        return new Statement(text, write, key, values, waitFrom, waitTo);
+        return new Statement(text, write, key, values, timeoutFrom, timeoutTo);
     }
 
     /** The place of the quote that ends a literal; a doubled quote is part of it. */
-    private static int closingQuote(Text text, int from) throws StatementException {
-        for (int i = text.find('\'', from); i < text.length; i = text.find('\'', i + 2)) {
-            if (i + 1 == text.length || text.at(i + 1) != '\'') {
+    private static int closingQuote(ChunkedText text, int from) throws StatementException {
+        for (int i = text.indexOfOrEnd('\'', from); i < text.length; i = text.indexOfOrEnd('\'', i + 2)) {
+            if (i + 1 == text.length || text.byteAt(i + 1) != '\'') {
                 return i;
             }
         }
         throw new StatementException(SqlState.SYNTAX_ERROR, "a literal does not end");
     }
 
-    private static boolean startsWith(Text text, String word) {
-        return text.length >= word.length() && text.string(0, word.length()).equalsIgnoreCase(word);
+    private static boolean startsWith(ChunkedText text, String keyword) {
+        return text.length >= keyword.length() && text.substring(0, keyword.length()).equalsIgnoreCase(keyword);
     }
 
     private static String required(Map<String, String> values, String name) throws StatementException {
@@ -140,11 +140,11 @@
         return value;
     }
 
-    private static long number(Map<String, String> values, String name, long least, long most)
+    private static long parseNumber(Map<String, String> values, String name, long min, long max)
             throws StatementException {
         try {
             long value = Long.parseLong(required(values, name));
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
@@ -176,9 +176,9 @@
     /** The text for a server that is given this long, in pieces. */
     public List<ByteBuffer> text(long limitMs) {
         List<ByteBuffer> parts = new ArrayList<>();
-        parts.addAll(text.views(0, waitFrom));
+        parts.addAll(text.views(0, timeoutFrom));
         parts.add(ByteBuffer.wrap(Long.toString(limitMs).getBytes(StandardCharsets.US_ASCII)));
-        parts.addAll(text.views(waitTo, text.length));
+        parts.addAll(text.views(timeoutTo, text.length));
         return parts;
     }
 }
--- a/pooler/src/main/java/holdmux/upgrade/Link.java
+++ b/pooler/src/main/java/holdmux/upgrade/Link.java
@@ -10,35 +10,35 @@
     /** What a frame says. */
     enum Kind {
         /** Session {@code b} of group {@code a} has written at {@code c}; session 0 stands for the group's floor. */
-        WROTE(false),
+        PAST_WRITE(false),
         /** The same of a write whose client waits for its answer. */
-        WRITES(true),
+        PENDING_WRITE(true),
         /** One more frame that asked for a word is taken in. */
-        TAKEN(false),
+        ACK(false),
         /** All writes so far have been told. */
-        TOLD(false),
+        SYNCED(false),
         /** The operators' orders have changed. */
-        ORDERS(true),
+        ORDERS_CHANGED(true),
         /** The sender holds {@code a} clients and {@code b} connections to servers. */
-        HOLDS(false),
+        USAGE(false),
         /** The sender serves clients. */
-        SERVES(false);
+        SERVING(false);
 
-        final boolean asksForWord;
+        final boolean needsAck;
 
-        Kind(boolean asksForWord) {
-            this.asksForWord = asksForWord;
+        Kind(boolean needsAck) {
+            this.needsAck = needsAck;
         }
     }
 
     record Frame(Kind kind, long a, long b, long c) {}
 
     /** The kind as an int, an int that is spare, and three longs. */
-    static final int SIZE = 2 * Integer.BYTES + 3 * Long.BYTES;
+    static final int FRAME_BYTES = 2 * Integer.BYTES + 3 * Long.BYTES;
 
     private final SocketChannel channel;
-    private final ByteBuffer in = ByteBuffer.allocate(SIZE);
-    private long asked;
+    private final ByteBuffer in = ByteBuffer.allocate(FRAME_BYTES);
+    private long sentNeedingAck;
 
     Link(SocketChannel channel) {
         this.channel = channel;
@@ -46,12 +46,12 @@
 
     /** Returns how many frames sent so far ask for a word, this one among them. */
     synchronized long send(Frame frame) throws IOException {
-        asked += frame.kind().asksForWord ? 1 : 0;
+        sentNeedingAck += frame.kind().needsAck ? 1 : 0;
         ByteBuffer out = encode(frame);
         while (out.hasRemaining()) {
             channel.write(out);
         }
-        return asked;
+        return sentNeedingAck;
     }
 
     /** The next frame; an {@link IOException} at the end of the other process. */
@@ -66,7 +66,7 @@
     }
 
     static ByteBuffer encode(Frame frame) {
-        return ByteBuffer.allocate(SIZE).putInt(frame.kind().ordinal()).putInt(0).putLong(frame.a())
+        return ByteBuffer.allocate(FRAME_BYTES).putInt(frame.kind().ordinal()).putInt(0).putLong(frame.a())
                 .putLong(frame.b()).putLong(frame.c()).flip();
     }
 
--- a/pooler/src/test/java/holdmux/DrainTest.java
+++ b/pooler/src/test/java/holdmux/DrainTest.java
@@ -12,39 +12,39 @@
 class DrainTest {
     private static final long NEVER = Long.MAX_VALUE;
 
-    private long now, endsAt, stoppedAt, gaveUpAt = NEVER, closesAt = NEVER;
+    private long now, endAfterAt, stoppedAcceptingAt, gaveUpAt = NEVER, connectionClosedAt = NEVER;
 
     /** When the process ends whose client has its answer at a time or, if it heeds that, once it is given up. */
-    private long end(long longestMs, long answeredAt, boolean heeds) throws InterruptedException {
-        return end(longestMs, answeredAt, heeds, NEVER);
+    private long drainUntil(long maxDeadlineMs, long answeredAt, boolean endsOnGiveUp) throws InterruptedException {
+        return drainUntil(maxDeadlineMs, answeredAt, endsOnGiveUp, NEVER);
     }
 
     /** {@code closedAt}: when its connection has ended by itself. */
-    private long end(long longestMs, long answeredAt, boolean heeds, long closedAt) throws InterruptedException {
+    private long drainUntil(long maxDeadlineMs, long answeredAt, boolean endsOnGiveUp, long closedAt) throws InterruptedException {
         now = 0;
         gaveUpAt = NEVER;
-        closesAt = closedAt;
+        connectionClosedAt = closedAt;
         Front front = (Front) Proxy.newProxyInstance(Front.class.getClassLoader(), new Class<?>[] {Front.class},
                 (proxy, method, args) -> {
                     switch (method.getName()) {
-                        case "endAfter" -> endsAt = now + (long) args[0] / Clock.MS;
-                        case "stopAccepting" -> stoppedAt = now;
-                        case "closeWhenIdle" -> closesAt = Math.min(closesAt, now);
+                        case "endAfter" -> endAfterAt = now + (long) args[0] / Clock.MS;
+                        case "stopAccepting" -> stoppedAcceptingAt = now;
+                        case "closeWhenIdle" -> connectionClosedAt = Math.min(connectionClosedAt, now);
                         default -> {
-                            boolean answered = now > Math.min(answeredAt, heeds ? gaveUpAt : NEVER);
-                            return answered && closesAt <= now ? 0 : 1;
+                            boolean answered = now > Math.min(answeredAt, endsOnGiveUp ? gaveUpAt : NEVER);
+                            return answered && connectionClosedAt <= now ? 0 : 1;
                         }
                     }
                     return null;
                 });
-        Drain.run(front, () -> gaveUpAt = Math.min(gaveUpAt, now), false, longestMs, new Drain.Time() {
+        Drain.run(front, () -> gaveUpAt = Math.min(gaveUpAt, now), false, maxDeadlineMs, new Drain.Timer() {
             @Override
-            public long passedMs() {
+            public long elapsedMs() {
                 return now;
             }
 
             @Override
-            public void pause(long ms) {
+            public void sleep(long ms) {
                 now += ms;
             }
         });
@@ -53,25 +53,25 @@
 
     /** Guards against an exit with a request open: "ends with 6 clients" lost six, each waiting on a server that hung. */
     @Test
-    void whatHangsIsGivenUpBeforeTheKill() throws InterruptedException {
-        for (long longest : new long[] {200, 900, 3_000, 5_000}) {
-            long end = end(longest, NEVER, true);
-            assertTrue(gaveUpAt <= Math.max(600, 500 + Math.min(3_000, longest)), longest + ": given up at " + gaveUpAt);
-            assertTrue(endsAt <= gaveUpAt, "what is taken later must be answered by then");
+    void hungRequestsAreAnsweredBeforeSigkill() throws InterruptedException {
+        for (long maxDeadlineMs : new long[] {200, 900, 3_000, 5_000}) {
+            long end = drainUntil(maxDeadlineMs, NEVER, true);
+            assertTrue(gaveUpAt <= Math.max(600, 500 + Math.min(3_000, maxDeadlineMs)), maxDeadlineMs + ": given up at " + gaveUpAt);
+            assertTrue(endAfterAt <= gaveUpAt, "what is taken later must be answered by then");
             assertTrue(end > gaveUpAt, "it ended before the answer went out");
-            assertEquals(600, stoppedAt);
+            assertEquals(600, stoppedAcceptingAt);
         }
     }
 
     /** A client that takes its answer slowly keeps the process, since SIGKILL excuses what an exit would lose, but not for ever. */
     @Test
-    void theProcessDoesNotEndWithAClientOpen() throws InterruptedException {
-        assertTrue(end(3_000, 4_500, false) >= 4_500);
-        assertTrue(end(3_000, NEVER, false) < 15_000);
+    void drainWaitsForOpenClientsWithinALimit() throws InterruptedException {
+        assertTrue(drainUntil(3_000, 4_500, false) >= 4_500);
+        assertTrue(drainUntil(3_000, NEVER, false) < 15_000);
     }
 
     @Test
-    void itEndsAtOnceWhenNobodyIsLeft() throws InterruptedException {
-        assertEquals(600, end(3_000, -1, false, 0));
+    void drainEndsAfterAcceptingWhenNoClientIsOpen() throws InterruptedException {
+        assertEquals(600, drainUntil(3_000, -1, false, 0));
     }
 }
--- a/pooler/src/test/java/holdmux/ReloaderTest.java
+++ b/pooler/src/test/java/holdmux/ReloaderTest.java
@@ -9,7 +9,7 @@
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Workers;
-import holdmux.discovery.Agents;
+import holdmux.discovery.AgentAddresses;
 import holdmux.discovery.Watch;
 import java.io.FileNotFoundException;
 import java.io.IOException;
@@ -30,36 +30,36 @@
 class ReloaderTest {
     /** Nobody sends the signal twice: a file that the system could not read used to be given up, and discovery's move with it. */
     @Test
-    void aFileThatCannotBeReadForAMomentIsReadAgain(@TempDir Path folder) throws Exception {
+    void retriesAfterReadFailures(@TempDir Path directory) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
-            Path file = folder.resolve("config.json");
+            Path file = directory.resolve("config.json");
             Files.writeString(file, ConfigTest.sample().replace("127.0.0.1:5433", "127.0.0.1:" + free.getLocalPort()));
             Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()), 0);
             Pooler pooler = new Pooler(config, List.of(), new Clock());
             Counters counters = pooler.services().counters();
-            Watch watch = new Watch(Agents.only(config.discovery()), config.known(), () -> false, 1, counters, list -> { });
-            Semaphore hangUps = new Semaphore(0);
-            Deque<Exception> faults = new ArrayDeque<>(List.of(new FileNotFoundException("Too many open files"),
+            Watch watch = new Watch(AgentAddresses.only(config.discovery()), config.cachedList(), () -> false, 1, counters, list -> { });
+            Semaphore sighups = new Semaphore(0);
+            Deque<Exception> failures = new ArrayDeque<>(List.of(new FileNotFoundException("Too many open files"),
                     new IOException("Input/output error"), new ConfigException("not to be used")));
             InetSocketAddress moved = new InetSocketAddress("127.0.0.1", 8_501);
-            Workers.lasting("reload", counters, new Reloader(hangUps, config, new Steered(pooler.services(), watch), watch,
-                    counters, inForce -> {
-                        Exception fault = faults.poll();
-                        if (fault != null) {
-                            if (fault instanceof IOException io) {
+            Workers.restartingThread("reload", counters, new Reloader(sighups, config, new ActivePolicy(pooler.services(), watch), watch,
+                    counters, current -> {
+                        Exception failure = failures.poll();
+                        if (failure != null) {
+                            if (failure instanceof IOException io) {
                                 throw io;
                             }
-                            throw (RuntimeException) fault;
+                            throw (RuntimeException) failure;
                         }
                         return Config.load(Map.of("BALANCER_CONFIG", file.toString(), "BALANCER_DISCOVERY", "127.0.0.1:8501"), 0);
                     })).start();
-            hangUps.release();
+            sighups.release();
             while (counters.get(Counter.RELOADS_REFUSED) == 0) {
                 Thread.sleep(1);
             }
             assertEquals(2, counters.get(Counter.RELOAD_RETRIES));
             assertEquals(config.discovery(), watch.agent(), "what is no configuration is refused at once");
-            hangUps.release();
+            sighups.release();
             while (counters.get(Counter.RELOADS) == 0) {
                 Thread.sleep(1);
             }
@@ -69,22 +69,22 @@
 
     /** A file that was half written at the signal used to be refused for good: the old agent was asked for ever. */
     @Test
-    void aFileThatWasHalfWrittenIsReadAgain(@TempDir Path folder) throws Exception {
+    void retriesAHalfWrittenFile(@TempDir Path directory) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
-            Path file = folder.resolve("config.json");
+            Path file = directory.resolve("config.json");
             String whole = ConfigTest.sample().replace("127.0.0.1:5433", "127.0.0.1:" + free.getLocalPort());
             Files.writeString(file, whole);
             Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString());
             Config config = Config.load(environment, 0);
             Pooler pooler = new Pooler(config, List.of(), new Clock());
             Counters counters = pooler.services().counters();
-            Watch watch = new Watch(Agents.only(config.discovery()), config.known(), () -> false, 1, counters, list -> { });
-            Semaphore hangUps = new Semaphore(0);
-            Workers.lasting("reload", counters, new Reloader(hangUps, config, new Steered(pooler.services(), watch), watch,
-                    counters, inForce -> inForce.reload(environment))).start();
+            Watch watch = new Watch(AgentAddresses.only(config.discovery()), config.cachedList(), () -> false, 1, counters, list -> { });
+            Semaphore sighups = new Semaphore(0);
+            Workers.restartingThread("reload", counters, new Reloader(sighups, config, new ActivePolicy(pooler.services(), watch), watch,
+                    counters, current -> current.reload(environment))).start();
             String moved = whole.replace("127.0.0.1:8500", "127.0.0.1:8501");
             Files.writeString(file, moved.substring(0, moved.length() / 2));
-            hangUps.release();
+            sighups.release();
             while (counters.get(Counter.RELOADS_REFUSED) == 0) {
                 Thread.sleep(1);
             }
--- a/pooler/src/test/java/holdmux/ServeTest.java
+++ b/pooler/src/test/java/holdmux/ServeTest.java
@@ -34,11 +34,11 @@
     private static String answerOnce(ServerSocket agent) throws IOException {
         Socket socket = agent.accept();
         BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-        String call = in.readLine();
+        String request = in.readLine();
         String body = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
         socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.UTF_8));
-        return call;
+        return request;
     }
 
     private static String config(ServerSocket agent, int port) {
@@ -49,24 +49,24 @@
     /** Unhandled, SIGHUP ends a virtual machine; handled, the new file's discovery is asked for its whole list. */
     @Test
     @Timeout(30)
-    void aHangUpMovesTheWatchAndEndsNothing(@TempDir Path folder) throws Exception {
+    void sighupReloadsDiscoveryAddress(@TempDir Path directory) throws Exception {
         int port = freePort();
-        Path file = folder.resolve("config.json");
+        Path file = directory.resolve("config.json");
         try (ServerSocket first = agent(); ServerSocket second = agent()) {
             Files.writeString(file, config(first, port));
-            Process pooler = serve(folder, file, "log", freePort());
+            Process pooler = serve(directory, file, "log", freePort());
             try {
                 assertEquals("GET /v1/endpoints HTTP/1.1", answerOnce(first), "what the agent has counts at once");
                 Files.writeString(file, "{");
-                hangUp(pooler);
+                sendSighup(pooler);
                 Thread.sleep(300); // two signals close together would count as one
                 Files.writeString(file, config(second, port));
-                hangUp(pooler);
+                sendSighup(pooler);
                 assertEquals("GET /v1/endpoints HTTP/1.1", answerOnce(second));
                 assertTrue(pooler.isAlive());
                 pooler.destroy(); // SIGTERM
                 assertTrue(pooler.waitFor(10, TimeUnit.SECONDS));
-                String log = Files.readString(folder.resolve("log"));
+                String log = Files.readString(directory.resolve("log"));
                 assertTrue(log.contains("the old one stays") && log.contains("reloads=1 reloads_refused=1"), log);
             } finally {
                 pooler.destroyForcibly();
@@ -77,11 +77,11 @@
     /** Started below nohup a virtual machine hears no SIGHUP; operators must learn it from the log, not from old settings. */
     @Test
     @Timeout(30)
-    void aPoolerThatCannotHearHangUpsSaysSo(@TempDir Path folder) throws Exception {
+    void warnsWhenSighupIsIgnored(@TempDir Path directory) throws Exception {
         try (ServerSocket agent = agent()) {
-            Path file = folder.resolve("config.json");
+            Path file = directory.resolve("config.json");
             Files.writeString(file, config(agent, freePort()));
-            ProcessBuilder builder = serving(folder, file, "log", freePort());
+            ProcessBuilder builder = processBuilder(directory, file, "log", freePort());
             builder.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
             Process pooler = builder.start();
             try {
@@ -89,24 +89,24 @@
             } finally {
                 pooler.destroyForcibly().waitFor();
             }
-            assertTrue(Files.readString(folder.resolve("log")).contains("started with SIGHUP ignored"));
+            assertTrue(Files.readString(directory.resolve("log")).contains("started with SIGHUP ignored"));
         }
     }
 
     /** Nobody reads the log: it used to block each thread with something to say, the watch of discovery among them. */
     @Test
     @Timeout(40)
-    void aLogThatNobodyReadsHoldsUpNothing(@TempDir Path folder) throws Exception {
+    void unreadLogBlocksNoThread(@TempDir Path directory) throws Exception {
         int port = freePort();
-        Path file = folder.resolve("config.json");
+        Path file = directory.resolve("config.json");
         try (ServerSocket agent = agent()) {
             Files.writeString(file, config(agent, port));
-            Process pooler = serving(folder, file, "log", freePort()).redirectOutput(ProcessBuilder.Redirect.PIPE).start();
+            Process pooler = processBuilder(directory, file, "log", freePort()).redirectOutput(ProcessBuilder.Redirect.PIPE).start();
             try {
-                String wide = "x".repeat(200);
+                String longName = "x".repeat(200);
                 agent.setSoTimeout(10_000); // where no more calls come, the test fails rather than waits
                 for (int seq = 42; seq < 42 + 600; seq++) { // a pipe holds 64 KiB
-                    answer(agent, seq, wide);
+                    answer(agent, seq, longName);
                 }
             } finally {
                 pooler.destroyForcibly();
@@ -131,24 +131,24 @@
         }
     }
 
-    private static Process serve(Path folder, Path file, String log, int management) throws IOException {
-        return serving(folder, file, log, management).start();
+    private static Process serve(Path directory, Path file, String log, int management) throws IOException {
+        return processBuilder(directory, file, log, management).start();
     }
 
-    private static ProcessBuilder serving(Path folder, Path file, String log, int management) {
+    private static ProcessBuilder processBuilder(Path directory, Path file, String log, int management) {
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp", System.getProperty("java.class.path"), "holdmux.Serve");
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.environment().put("BALANCER_MANAGEMENT", "127.0.0.1:" + management);
-        builder.environment().put("TMPDIR", folder.toString());
-        return builder.redirectErrorStream(true).redirectOutput(folder.resolve(log).toFile());
+        builder.environment().put("TMPDIR", directory.toString());
+        return builder.redirectErrorStream(true).redirectOutput(directory.resolve(log).toFile());
     }
 
     /** The status of a call to the operators' address; tries again until somebody listens there. */
-    private static int call(int port, String call) throws Exception {
+    private static int callManagement(int port, String request) throws Exception {
         while (true) {
             try (Socket socket = new Socket("127.0.0.1", port)) {
-                socket.getOutputStream().write((call + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write((request + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
                 return Integer.parseInt(new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                         .substring(9, 12));
             } catch (IOException e) {
@@ -160,30 +160,30 @@
     /** A second start takes over beside the first, which ends at SIGTERM; an order given to the one binds the other. */
     @Test
     @Timeout(40)
-    void aNewVersionTakesOverBesideTheOld(@TempDir Path folder) throws Exception {
-        Path file = folder.resolve("config.json");
+    void newerProcessTakesOverFromOlder(@TempDir Path directory) throws Exception {
+        Path file = directory.resolve("config.json");
         int[] management = {freePort(), freePort()};
         try (ServerSocket agent = agent()) {
             Files.writeString(file, config(agent, freePort()));
-            Process older = serve(folder, file, "older", management[0]);
+            Process older = serve(directory, file, "older", management[0]);
             Process newer = null;
             try {
-                while (call(management[0], "GET /api/ready") != 200) {
+                while (callManagement(management[0], "GET /api/ready") != 200) {
                     Thread.sleep(20);
                 }
-                newer = serve(folder, file, "newer", management[1]);
-                while (call(management[1], "GET /api/ready") != 200) {
+                newer = serve(directory, file, "newer", management[1]);
+                while (callManagement(management[1], "GET /api/ready") != 200) {
                     Thread.sleep(20);
                 }
-                assertEquals(200, call(management[1], "PUT /api/exclude/s-1"));
-                assertEquals(200, call(management[0], "PUT /api/evacuate"));
-                assertEquals(503, call(management[1], "GET /api/ready"));
+                assertEquals(200, callManagement(management[1], "PUT /api/exclude/s-1"));
+                assertEquals(200, callManagement(management[0], "PUT /api/evacuate"));
+                assertEquals(503, callManagement(management[1], "GET /api/ready"));
                 older.destroy(); // SIGTERM
                 assertTrue(older.waitFor(10, TimeUnit.SECONDS));
                 assertTrue(newer.isAlive());
-                assertEquals(200, call(management[1], "PUT /api/include/s-1"));
-                assertEquals(200, call(management[1], "PUT /api/rejoin"));
-                assertEquals(200, call(management[1], "GET /api/ready"));
+                assertEquals(200, callManagement(management[1], "PUT /api/include/s-1"));
+                assertEquals(200, callManagement(management[1], "PUT /api/rejoin"));
+                assertEquals(200, callManagement(management[1], "GET /api/ready"));
             } finally {
                 older.destroyForcibly();
                 if (newer != null) {
@@ -195,26 +195,26 @@
 
     /** Guards against a start behind a crowd: what came while the code was cold was past its time when it was read. */
     @Test
-    void aStartListensOnceItIsWarmAndHasHeardTheOlderProcess() throws IOException {
-        List<String> done = new ArrayList<>();
-        Serve.start(() -> done.add("warm"), () -> done.add("heard"), () -> done.add("listens"));
-        assertEquals(List.of("warm", "heard", "listens"), done);
+    void listensAfterWarmUpAndSync() throws IOException {
+        List<String> steps = new ArrayList<>();
+        Serve.start(() -> steps.add("warm"), () -> steps.add("heard"), () -> steps.add("listens"));
+        assertEquals(List.of("warm", "heard", "listens"), steps);
     }
 
     /** SIGTERM between the first line and the listener: who connected then was cut off by the exit. */
     @Test
-    void whoIsToldToEndDuringItsStartDoesNotListen() throws Exception {
-        List<String> done = new ArrayList<>();
+    void doesNotListenAfterSigterm() throws Exception {
+        List<String> calls = new ArrayList<>();
         Front front = (Front) Proxy.newProxyInstance(Front.class.getClassLoader(), new Class<?>[] {Front.class},
-                (proxy, method, args) -> done.add(method.getName()) ? null : null);
+                (proxy, method, args) -> calls.add(method.getName()) ? null : null);
         Thread.currentThread().interrupt(); // the drain ends the process that this waits for
         assertThrows(InterruptedException.class, () -> Serve.listen(front, new AtomicBoolean(true)));
-        assertEquals(List.of(), done);
+        assertEquals(List.of(), calls);
         Serve.listen(front, new AtomicBoolean(false));
-        assertEquals(List.of("listen"), done);
+        assertEquals(List.of("listen"), calls);
     }
 
-    private static void hangUp(Process pooler) throws IOException, InterruptedException {
+    private static void sendSighup(Process pooler) throws IOException, InterruptedException {
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(pooler.pid())).start().waitFor());
     }
 }
--- a/pooler/src/test/java/holdmux/config/ConfigTest.java
+++ b/pooler/src/test/java/holdmux/config/ConfigTest.java
@@ -47,8 +47,8 @@
         assertEquals("save-quote", deployment.classes().get(1));
         assertEquals(Consistency.WRITE, deployment.settings().classes().get(1).consistency());
         assertEquals(250_000_000L, deployment.connectTimeoutNs());
-        assertEquals(Availability.DRAINING, config.known().hosts().get(1).availability());
-        assertTrue(config.known().hosts().get(0).primary());
+        assertEquals(Availability.DRAINING, config.cachedList().hosts().get(1).availability());
+        assertTrue(config.cachedList().hosts().get(0).primary());
     }
 
     /** What a replaced file names counts over the environment given at the start; a bad file changes nothing. */
@@ -145,7 +145,7 @@
     void aThousandServersWithTheLongestNamesFit(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, new JSONObject(sample()).put("known", longList()).toString(8));
-        assertEquals(1_024, Config.load(Map.of("BALANCER_CONFIG", file.toString()), 0).known().hosts().size());
+        assertEquals(1_024, Config.load(Map.of("BALANCER_CONFIG", file.toString()), 0).cachedList().hosts().size());
     }
 
     /** Caps follow the limits told, never one machine's figures, and leave descriptors and memory to spare. */
--- a/pooler/src/test/java/holdmux/core/AttemptTest.java
+++ b/pooler/src/test/java/holdmux/core/AttemptTest.java
@@ -12,12 +12,12 @@
 
     private Attempt attempt(boolean written, Outcome cut) {
         Attempt attempt = new Attempt(1, 0, 0, 1_000, () -> true);
-        assertTrue(attempt.carriedBy(() -> closed = true));
+        assertTrue(attempt.attachConnection(() -> closed = true));
         if (written) {
-            attempt.written();
+            attempt.markWritten();
         }
         if (cut != null) {
-            attempt.cut(cut);
+            attempt.abort(cut);
         }
         return attempt;
     }
@@ -25,23 +25,23 @@
     /** The protocol's table: before the last byte nothing ran, after it the request may have. */
     @Test
     void aBreakMeansWhatWasWritten() {
-        assertEquals(Outcome.CONNECT_FAILED, attempt(false, null).broken());
-        assertEquals(Outcome.RESET, attempt(true, null).broken());
-        assertEquals(Outcome.CONNECT_FAILED, attempt(false, Outcome.TIMEOUT).broken());
-        assertEquals(Outcome.TIMEOUT, attempt(true, Outcome.TIMEOUT).broken());
-        assertEquals(Outcome.MOOT, attempt(false, Outcome.CANCELLED).broken());
-        assertEquals(Outcome.CANCELLED, attempt(true, Outcome.CANCELLED).broken());
-        assertEquals(Outcome.MOOT, attempt(false, null).droppedHere());
-        assertEquals(Outcome.CANCELLED, attempt(true, null).droppedHere());
+        assertEquals(Outcome.CONNECT_FAILED, attempt(false, null).failDisconnected());
+        assertEquals(Outcome.RESET, attempt(true, null).failDisconnected());
+        assertEquals(Outcome.CONNECT_FAILED, attempt(false, Outcome.TIMEOUT).failDisconnected());
+        assertEquals(Outcome.TIMEOUT, attempt(true, Outcome.TIMEOUT).failDisconnected());
+        assertEquals(Outcome.MOOT, attempt(false, Outcome.CANCELLED).failDisconnected());
+        assertEquals(Outcome.CANCELLED, attempt(true, Outcome.CANCELLED).failDisconnected());
+        assertEquals(Outcome.MOOT, attempt(false, null).failLocally());
+        assertEquals(Outcome.CANCELLED, attempt(true, null).failLocally());
     }
 
     @Test
     void aCutClosesTheConnectionOnce() {
         Attempt attempt = attempt(true, Outcome.TIMEOUT);
         assertTrue(closed);
-        attempt.cut(Outcome.CANCELLED);
-        assertEquals(Outcome.TIMEOUT, attempt.broken(), "the first cause stands");
-        assertFalse(attempt.carriedBy(() -> { }), "nothing is carried on after a cut");
+        attempt.abort(Outcome.CANCELLED);
+        assertEquals(Outcome.TIMEOUT, attempt.failDisconnected(), "the first cause stands");
+        assertFalse(attempt.attachConnection(() -> { }), "nothing is carried on after a cut");
     }
 
     /** Guards against a late time-out closing a connection that is back in the pool. */
@@ -49,7 +49,7 @@
     void aCutAfterTheAnswerTouchesNothing() {
         Attempt attempt = attempt(true, null);
         assertTrue(attempt.complete());
-        attempt.cut(Outcome.TIMEOUT);
+        attempt.abort(Outcome.TIMEOUT);
         assertFalse(closed);
         assertFalse(attempt(true, Outcome.TIMEOUT).complete(), "a cut connection is not clean");
     }
@@ -58,12 +58,12 @@
     @Test
     void aConnectTimeOutThatComesLateNeitherCutsNorProvesAnything() {
         Attempt attempt = attempt(false, null);
-        attempt.connected();
-        attempt.cut(Outcome.CONNECT_FAILED);
+        attempt.markConnected();
+        attempt.abort(Outcome.CONNECT_FAILED);
         assertFalse(closed);
-        attempt.written();
-        attempt.cut(Outcome.TIMEOUT);
-        assertEquals(Outcome.TIMEOUT, attempt.broken());
-        assertEquals(Outcome.RESET, attempt(true, Outcome.CONNECT_FAILED).broken(), "its last byte was written");
+        attempt.markWritten();
+        attempt.abort(Outcome.TIMEOUT);
+        assertEquals(Outcome.TIMEOUT, attempt.failDisconnected());
+        assertEquals(Outcome.RESET, attempt(true, Outcome.CONNECT_FAILED).failDisconnected(), "its last byte was written");
     }
 }
--- a/pooler/src/test/java/holdmux/core/BalancerTest.java
+++ b/pooler/src/test/java/holdmux/core/BalancerTest.java
@@ -25,26 +25,26 @@
     private static final int READ = 0, WRITE = 1;
 
     /** A front and an upstream that play the given outcomes and note what the client is told. */
-    private class Script implements Client, Upstream {
-        final List<String> told = new ArrayList<>();
+    private class ScriptedExchange implements Responder, Upstream {
+        final List<String> answers = new ArrayList<>();
         final List<Long> sentTo = new ArrayList<>();
         private final List<Outcome> outcomes;
 
-        Script(Outcome... outcomes) {
+        ScriptedExchange(Outcome... outcomes) {
             this.outcomes = new ArrayList<>(List.of(outcomes));
         }
 
         @Override
-        public Attempted attempt(Attempt attempt, Statement statement, Value.Form wanted) {
+        public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape wanted) {
             if (fault != null) {
                 throw fault;
             }
-            assertTrue(attempt.stands());
-            sentTo.add(attempt.store);
-            attempt.carriedBy(() -> { });
-            attempt.written();
+            assertTrue(attempt.mayWrite());
+            sentTo.add(attempt.serverId);
+            attempt.attachConnection(() -> { });
+            attempt.markWritten();
             Outcome outcome = outcomes.remove(0);
-            return new Attempted(Reply.of(outcome), outcome == Outcome.OK ? value : null);
+            return new AttemptResult(Reply.of(outcome), outcome == Outcome.OK ? result : null);
         }
 
         @Override
@@ -56,40 +56,40 @@
         public void closeIdle(long store) { }
 
         @Override
-        public Value.Form form() {
-            return Value.Form.CELL;
+        public QueryResult.Shape resultShape() {
+            return QueryResult.Shape.CELL;
         }
 
         @Override
-        public void serve(Value value) {
-            told.add("served");
+        public void serve(QueryResult value) {
+            answers.add("served");
         }
 
         @Override
         public void refuse(long waitNs) {
-            told.add("refused " + waitNs);
+            answers.add("refused " + waitNs);
         }
 
         @Override
         public void fail() {
-            told.add("failed");
+            answers.add("failed");
         }
     }
 
     /** Who carries out attempts now, what it serves, and how often that was closed. */
-    private Script upstream = new Script();
+    private ScriptedExchange upstream = new ScriptedExchange();
     private Error fault;
     private int closed;
-    private Value value = () -> closed++;
+    private QueryResult result = () -> closed++;
     private final Clock clock = new Clock();
     private final Deadlines deadlines = new Deadlines(clock);
     private final Counters counters = new Counters();
-    private final Fleet fleet = new Fleet(List.of("north"), List.of("std"));
-    private final Balancer balancer = new Balancer(deployment(settings(), "history", "save-quote"), 1, clock, deadlines, counters, fleet,
+    private final ServerRegistry registry = new ServerRegistry(List.of("north"), List.of("std"));
+    private final Balancer balancer = new Balancer(deployment(settings(), "history", "save-quote"), 1, clock, deadlines, counters, registry,
             work -> { });
 
     BalancerTest() {
-        balancer.connect(store -> upstream);
+        balancer.setUpstreams(store -> upstream);
         balancer.listChanged(list(true, host("s-1", true, Availability.READY), host("s-2", false, Availability.READY)),
                 true);
     }
@@ -118,31 +118,31 @@
         return new HostList(1, whole, List.of(hosts));
     }
 
-    private void life(Request request, Script script) {
+    private void execute(Request request, ScriptedExchange script) {
         upstream = script;
-        balancer.life(request, null, script);
+        balancer.execute(request, null, script);
     }
 
-    private Script play(int classIndex, Outcome... outcomes) {
-        Script script = new Script(outcomes);
-        Request.Call call = new Request.Call(classIndex == READ ? "history" : "save-quote",
+    private ScriptedExchange run(int classIndex, Outcome... outcomes) {
+        ScriptedExchange script = new ScriptedExchange(outcomes);
+        Request.Spec call = new Request.Spec(classIndex == READ ? "history" : "save-quote",
                 classIndex == READ ? Consistency.ANY : Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2);
-        life(balancer.taken(call), script);
+        execute(balancer.openRequest(call), script);
         return script;
     }
 
     @Test
     void aReadThatIsResetGoesToAnotherServer() {
-        Script script = play(READ, Outcome.RESET, Outcome.OK);
-        assertEquals(List.of("served"), script.told);
+        ScriptedExchange script = run(READ, Outcome.RESET, Outcome.OK);
+        assertEquals(List.of("served"), script.answers);
         assertEquals(2, script.sentTo.stream().distinct().count());
     }
 
     /** save-quote never runs twice: after an outcome that does not prove that it never ran, it fails. */
     @Test
     void aWriteThatMayHaveRunIsNotSentAgain() {
-        Script script = play(WRITE, Outcome.RESET);
-        assertEquals(List.of("failed"), script.told);
+        ScriptedExchange script = run(WRITE, Outcome.RESET);
+        assertEquals(List.of("failed"), script.answers);
         assertEquals(1, script.sentTo.size());
         assertEquals(1, counters.get(Counter.FAILED));
     }
@@ -150,10 +150,10 @@
     /** What a server gave is given back, passed on or not; what no front can pass on is a failure, since it has run. */
     @Test
     void aValueIsClosedAndOneThatFitsNoFrontFails() {
-        assertEquals(List.of("served"), play(READ, Outcome.OK).told);
+        assertEquals(List.of("served"), run(READ, Outcome.OK).answers);
         assertEquals(1, closed);
-        value = null;
-        assertEquals(List.of("failed"), play(WRITE, Outcome.OK).told);
+        result = null;
+        assertEquals(List.of("failed"), run(WRITE, Outcome.OK).answers);
         assertEquals(1, counters.get(Counter.VALUES_UNFIT));
         assertEquals(1, counters.get(Counter.SERVED));
     }
@@ -161,25 +161,25 @@
     /** A fault of this program on the way is the attempt's: one answer all the same. */
     @Test
     void anExceptionFailsOneRequest() {
-        Script script = new Script() {
+        ScriptedExchange script = new ScriptedExchange() {
             @Override
-            public Attempted attempt(Attempt attempt, Statement statement, Value.Form wanted) {
-                attempt.written();
+            public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape wanted) {
+                attempt.markWritten();
                 throw new IllegalStateException("planted");
             }
         };
-        life(balancer.taken(new Request.Call("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2)), script);
-        assertEquals(List.of("failed"), script.told);
-        assertEquals(List.of("served"), play(READ, Outcome.OK).told);
+        execute(balancer.openRequest(new Request.Spec("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2)), script);
+        assertEquals(List.of("failed"), script.answers);
+        assertEquals(List.of("served"), run(READ, Outcome.OK).answers);
     }
 
     @Test
     void aClientThatLeftIsToldNothing() {
-        Request request = balancer.taken(new Request.Call("history", Consistency.ANY, false, 900 * Clock.MS, 0, 7, 2));
-        balancer.left(request);
-        Script script = new Script();
-        life(request, script);
-        assertEquals(List.of(), script.told);
+        Request request = balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 900 * Clock.MS, 0, 7, 2));
+        balancer.clientLeft(request);
+        ScriptedExchange script = new ScriptedExchange();
+        execute(request, script);
+        assertEquals(List.of(), script.answers);
         assertEquals(1, counters.get(Counter.CLIENTS_LEFT));
     }
 
@@ -187,12 +187,12 @@
     @Test
     void whatTheModuleGivesUpOnIsRefusedWithATime() {
         balancer.listChanged(list(true, host("s-2", false, Availability.DRAINING)), false);
-        Script script = new Script();
-        Request request = balancer.taken(new Request.Call("history", Consistency.ANY, false, Clock.MS, 0, 7, 2));
-        Thread sweeper = Workers.thread("sweeper", deadlines::run);
+        ScriptedExchange script = new ScriptedExchange();
+        Request request = balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, Clock.MS, 0, 7, 2));
+        Thread sweeper = Workers.newThread("sweeper", deadlines::run);
         sweeper.start();
-        life(request, script);
-        assertEquals(List.of("refused " + 500 * Clock.MS), script.told);
+        execute(request, script);
+        assertEquals(List.of("refused " + 500 * Clock.MS), script.answers);
     }
 
     /** An attempt that is given up ends at once also where the settings forbid to cancel: it was waited for. */
@@ -200,26 +200,26 @@
     @ValueSource(booleans = {true, false})
     void whatIsGivenUpDoesNotWaitForItsAttempt(boolean clientLeft) {
         Limits noCancel = new Limits(6, true, false, true, true, 500 * Clock.MS, false);
-        balancer.retune(deployment(with(settings(), settings().classes(), noCancel), "history", "save-quote"));
-        Request request = balancer.taken(new Request.Call("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2));
-        List<Written> written = new ArrayList<>();
-        balancer.tellWritesTo(written::add);
-        Script script = new Script() {
+        balancer.reconfigure(deployment(with(settings(), settings().classes(), noCancel), "history", "save-quote"));
+        Request request = balancer.openRequest(new Request.Spec("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2));
+        List<LastWrite> written = new ArrayList<>();
+        balancer.setWriteListener(written::add);
+        ScriptedExchange script = new ScriptedExchange() {
             @Override
-            public Attempted attempt(Attempt attempt, Statement statement, Value.Form wanted) {
-                attempt.carriedBy(() -> closed++);
-                attempt.written();
+            public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape wanted) {
+                attempt.attachConnection(() -> closed++);
+                attempt.markWritten();
                 if (clientLeft) {
-                    balancer.left(request);
+                    balancer.clientLeft(request);
                 } else {
                     balancer.giveUpAll();
                 }
                 assertEquals(1, closed, "its connection stays");
-                return new Attempted(Reply.of(attempt.broken()), null);
+                return new AttemptResult(Reply.of(attempt.failDisconnected()), null);
             }
         };
-        life(request, script);
-        assertEquals(clientLeft ? List.of() : List.of("failed"), script.told);
+        execute(request, script);
+        assertEquals(clientLeft ? List.of() : List.of("failed"), script.answers);
         // it may have committed up to the cut, and a second process of this pooler must know
         assertEquals(1, written.size());
         assertTrue(written.get(0).positionNs() >= clock.now() - 1_000 * Clock.MS);
@@ -227,36 +227,36 @@
 
     @Test
     void aWholeListRemovesWhatItOmitsAndAddressesMayChange() {
-        long first = fleet.take(list(false, host("s-1", true, Availability.READY)), false).lines().get(0).store();
+        long first = registry.apply(list(false, host("s-1", true, Availability.READY)), false).lines().get(0).store();
         Host moved = new Host("s-2", new InetSocketAddress("127.0.0.1", 5599), "north", "std", 2, Availability.READY, 4,
                 1_000, false);
-        Listing line = fleet.take(list(true, moved), false).lines().get(0);
-        assertNull(fleet.address(first));
-        assertEquals(5599, fleet.address(line.store()).getPort());
+        Listing line = registry.apply(list(true, moved), false).lines().get(0);
+        assertNull(registry.address(first));
+        assertEquals(5599, registry.address(line.store()).getPort());
         assertEquals(1_000 * Clock.MS, line.startedAt());
-        assertTrue(fleet.hasGroup(2) && !fleet.hasGroup(3));
+        assertTrue(registry.hasGroup(2) && !registry.hasGroup(3));
     }
 
     /** News of discovery must not undo an exclusion; who is put back was restarted meanwhile and is cold. */
     @Test
     void aServerLeftOutDrainsWhateverTheListSays() {
-        Listing out = fleet.leaveOut(Map.of("s-1", 10L), 20).lines().get(0);
+        Listing out = registry.setExcluded(Map.of("s-1", 10L), 20).lines().get(0);
         assertEquals(Availability.DRAINING, out.availability());
         HostList news = list(true, host("s-1", true, Availability.READY), host("s-2", false, Availability.READY));
-        assertEquals(Availability.DRAINING, fleet.take(news, false).lines().get(0).availability());
-        assertEquals(List.of(), fleet.leaveOut(Map.of("s-1", 10L), 25).lines(), "the same order again changes nothing");
-        Listing back = fleet.leaveOut(Map.of(), 30).lines().get(0);
+        assertEquals(Availability.DRAINING, registry.apply(news, false).lines().get(0).availability());
+        assertEquals(List.of(), registry.setExcluded(Map.of("s-1", 10L), 25).lines(), "the same order again changes nothing");
+        Listing back = registry.setExcluded(Map.of(), 30).lines().get(0);
         assertEquals(Availability.READY, back.availability());
         assertEquals(30 * Clock.MS, back.startedAt());
-        assertTrue(fleet.lists("s-1") && !fleet.lists("s-9"));
+        assertTrue(registry.contains("s-1") && !registry.contains("s-9"));
     }
 
     @Test
     void nothingIsSentToAServerLeftOut() {
-        balancer.leaveOut(Map.of("s-2", 10L));
+        balancer.setExcluded(Map.of("s-2", 10L));
         for (int i = 0; i < 20; i++) {
-            Script script = play(READ, Outcome.OK);
-            assertEquals(List.of(fleet.take(list(false, host("s-1", true, Availability.READY)), false).lines().get(0).store()),
+            ScriptedExchange script = run(READ, Outcome.OK);
+            assertEquals(List.of(registry.apply(list(false, host("s-1", true, Availability.READY)), false).lines().get(0).store()),
                     script.sentTo);
         }
     }
@@ -269,13 +269,13 @@
         RequestClass write = old.classes().get(WRITE);
         RequestClass safe = new RequestClass(Consistency.WRITE, 0, write.onTimeNs(), write.deadlineNs(), 3, 0.5,
                 Effect.IDEMPOTENT, Scope.ALL, 0);
-        Request open = balancer.taken(new Request.Call("history", Consistency.ANY, false, 900 * Clock.MS, 0, 7, 2));
-        balancer.retune(deployment(with(old, List.of(safe, read), old.limits()), "save-quote", "history-r2"));
-        Script dropped = new Script();
-        life(open, dropped);
-        assertEquals(List.of("refused 0"), dropped.told);
-        Script again = play(WRITE, Outcome.RESET, Outcome.OK);
-        assertEquals(List.of("served"), again.told);
+        Request open = balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 900 * Clock.MS, 0, 7, 2));
+        balancer.reconfigure(deployment(with(old, List.of(safe, read), old.limits()), "save-quote", "history-r2"));
+        ScriptedExchange dropped = new ScriptedExchange();
+        execute(open, dropped);
+        assertEquals(List.of("refused 0"), dropped.answers);
+        ScriptedExchange again = run(WRITE, Outcome.RESET, Outcome.OK);
+        assertEquals(List.of("served"), again.answers);
         assertEquals(2, again.sentTo.size(), "the class is safe to repeat now");
     }
 
@@ -289,14 +289,14 @@
     @Test
     void aWriteIsToldBeforeItsClientSeesTheAnswer() {
         List<String> order = new ArrayList<>();
-        balancer.tellWritesTo(write -> order.add("told " + write.session()));
-        Script script = new Script(Outcome.OK) {
+        balancer.setWriteListener(write -> order.add("told " + write.session()));
+        ScriptedExchange script = new ScriptedExchange(Outcome.OK) {
             @Override
-            public void serve(Value value) {
+            public void serve(QueryResult value) {
                 order.add("served");
             }
         };
-        life(balancer.taken(new Request.Call("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2)),
+        execute(balancer.openRequest(new Request.Spec("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2)),
                 script);
         assertEquals(List.of("told 7", "served"), order);
         assertTrue(balancer.writes().stream().anyMatch(w -> w.session() == 7 && w.positionNs() > 0));
@@ -306,18 +306,18 @@
     @Test
     void aFaultHereIsAnsweredAsFailed() {
         fault = new StackOverflowError();
-        Script script = new Script();
-        life(balancer.taken(new Request.Call("history", Consistency.ANY, false, 1_000 * Clock.MS, 0, 0, 2)), script);
-        assertEquals(List.of("failed"), script.told);
+        ScriptedExchange script = new ScriptedExchange();
+        execute(balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 1_000 * Clock.MS, 0, 0, 2)), script);
+        assertEquals(List.of("failed"), script.answers);
         assertEquals(1, counters.get(Counter.INTERNAL_ERRORS));
     }
 
     /** Each send asked before it went out, and none broke a rule. */
     @Test
     void noSendOfALifeBreaksARule() {
-        Script script = new Script(Outcome.RESET, Outcome.OK);
-        life(balancer.taken(new Request.Call("history", Consistency.ANY, false, 1_000 * Clock.MS, 0, 0, 2)), script);
-        assertEquals(List.of("served"), script.told);
+        ScriptedExchange script = new ScriptedExchange(Outcome.RESET, Outcome.OK);
+        execute(balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 1_000 * Clock.MS, 0, 0, 2)), script);
+        assertEquals(List.of("served"), script.answers);
         assertEquals(0, counters.get(Counter.VIOLATIONS_UNPERMITTED));
         assertEquals(1, counters.get(Counter.RETRIES));
     }
--- a/pooler/src/test/java/holdmux/core/TimedInputTest.java
+++ b/pooler/src/test/java/holdmux/core/DeadlineInputStreamTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-public class TimedInputTest {
+public class DeadlineInputStreamTest {
     /** What Java 17's timed read returns where a signal interrupted it. */
     private static final int INTERRUPTED = -3;
 
@@ -42,7 +42,7 @@
     /** A read that a signal interrupted used to pass for the end of the input. */
     @Test
     void anInterruptedReadIsNoEnd() throws IOException {
-        TimedInput in = new TimedInput(socketReturning(INTERRUPTED, 1, INTERRUPTED, INTERRUPTED, -1), 1_000);
+        DeadlineInputStream in = new DeadlineInputStream(socketReturning(INTERRUPTED, 1, INTERRUPTED, INTERRUPTED, -1), 1_000);
         assertEquals('x', in.read());
         assertEquals(-1, in.read());
     }
--- a/pooler/src/test/java/holdmux/core/IdleConnectionsTest.java
+++ b/pooler/src/test/java/holdmux/core/IdleConnectionsTest.java
@@ -13,11 +13,11 @@
 class IdleConnectionsTest {
     private final List<Long> closed = new ArrayList<>();
 
-    private record Fake(long store, InetSocketAddress address, boolean clean, List<Long> closed)
+    private record Fake(long serverId, InetSocketAddress address, boolean isReusable, List<Long> closed)
             implements IdleConnections.Connection {
         @Override
         public void close() {
-            closed.add(store);
+            closed.add(serverId);
         }
     }
 
@@ -30,8 +30,8 @@
     void atTheCapWhatHasBeenIdleLongestMakesRoom() {
         Clock clock = new Clock();
         Counters counters = new Counters();
-        ServerSlots slots = new ServerSlots(2, new Shared());
-        IdleConnections<Fake> idle = new IdleConnections<>(new Fleet(List.of(), List.of()), clock,
+        ServerSlots slots = new ServerSlots(2, new OtherProcess());
+        IdleConnections<Fake> idle = new IdleConnections<>(new ServerRegistry(List.of(), List.of()), clock,
                 new Deadlines(clock), counters, slots, () -> 15_000 * Clock.MS);
         assertTrue(idle.reserve());
         assertTrue(idle.reserve());
--- a/pooler/src/test/java/holdmux/core/SendGateTest.java
+++ b/pooler/src/test/java/holdmux/core/SendGateTest.java
@@ -20,9 +20,9 @@
     private static final long MS = Clock.MS, GRACE = 2_000 * MS, STORE = 7;
 
     private final Counters counters = new Counters();
-    private final SendGate gate = new SendGate(counters, new Fleet(List.of("north"), List.of("std")));
+    private final SendGate gate = new SendGate(counters, new ServerRegistry(List.of("north"), List.of("std")));
     private final Request request = new Request(1,
-            new Request.Call("save-quote", Consistency.WRITE, false, 1_000 * MS, 0, 5, 2));
+            new Request.Spec("save-quote", Consistency.WRITE, false, 1_000 * MS, 0, 5, 2));
 
     private static ListChanged list(ListMode mode, Availability health) {
         return new ListChanged(mode, 1, List.of(new Listing(STORE, 2, 0, 0, health, true, 0, 1)));
@@ -41,16 +41,16 @@
     /** Whatever the module says, nothing goes to a server that was told to drain, was removed, or is left out of a whole list. */
     @Test
     void nothingGoesToAServerThatWasToldToStop() {
-        gate.told(list(ListMode.FULL, Availability.READY), 1);
+        gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
         assertTrue(permits(attempt(), Permission.ALLOWED, 2));
-        gate.told(list(ListMode.DELTA, Availability.DRAINING), 3);
+        gate.updateAvailability(list(ListMode.DELTA, Availability.DRAINING), 3);
         assertFalse(permits(attempt(), Permission.ALLOWED, 4));
         assertFalse(gate.permitsProbe(attempt(), false, 4), "a probe neither");
         assertEquals(1, counters.get(Counter.GATE_DISAGREEMENTS));
         assertEquals(2, counters.get(Counter.WITHHELD_SERVER_DRAINING));
-        gate.told(list(ListMode.DELTA, Availability.READY), 5);
+        gate.updateAvailability(list(ListMode.DELTA, Availability.READY), 5);
         assertTrue(permits(attempt(), Permission.ALLOWED, 6));
-        gate.told(new ListChanged(ListMode.FULL, 2, List.of()), 7);
+        gate.updateAvailability(new ListChanged(ListMode.FULL, 2, List.of()), 7);
         assertFalse(permits(attempt(), Permission.ALLOWED, 8));
         assertTrue(gate.permits(request, attempt(), Permission.ALLOWED, true, 8), "where a removal is advice");
     }
@@ -58,21 +58,21 @@
     /** A new process used to serve from the list of its configuration, in which a server that drains was still up. */
     @Test
     void nothingGoesOutBeforeDiscoveryHasConfirmedTheList() {
-        gate.awaitList(true);
-        gate.told(list(ListMode.CACHED, Availability.READY), 1);
+        gate.requireListConfirmation(true);
+        gate.updateAvailability(list(ListMode.CACHED, Availability.READY), 1);
         assertFalse(permits(attempt(), Permission.ALLOWED, 2));
         assertFalse(gate.permitsProbe(attempt(), false, 2), "a probe neither");
-        gate.awaitList(false);
+        gate.requireListConfirmation(false);
         assertTrue(permits(attempt(), Permission.ALLOWED, 3));
         assertEquals(2, counters.get(Counter.WITHHELD_LIST_UNCONFIRMED));
     }
 
     @Test
     void nothingGoesOutForARequestThatIsOverOrLate() {
-        gate.told(list(ListMode.FULL, Availability.READY), 1);
+        gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
         assertFalse(permits(attempt(), Permission.DATA_TOO_OLD, 2), "the module has the first word");
         assertFalse(permits(attempt(), Permission.ALLOWED, 1 + 1_000 * MS), "its time is over");
-        request.over = true;
+        request.finished = true;
         assertFalse(permits(attempt(), Permission.ALLOWED, 2));
         assertEquals(1, counters.get(Counter.WITHHELD_REQUEST_OVER));
         assertEquals(1, counters.get(Counter.WITHHELD_TIME_OVER));
@@ -81,29 +81,29 @@
     /** What goes out past a rule by a fault elsewhere is seen at run time. */
     @Test
     void whatBreaksARuleIsCounted() {
-        gate.told(list(ListMode.FULL, Availability.READY), 1);
-        gate.written(request, attempt(), false, GRACE, 2);
+        gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
+        gate.checkWritten(request, attempt(), false, GRACE, 2);
         assertEquals(1, counters.get(Counter.VIOLATIONS_UNPERMITTED), "nobody asked");
 
         Attempt late = attempt();
         assertTrue(permits(late, Permission.ALLOWED, 3));
-        gate.told(list(ListMode.DELTA, Availability.DRAINING), 4);
-        gate.written(request, late, false, GRACE, 5);
+        gate.updateAvailability(list(ListMode.DELTA, Availability.DRAINING), 4);
+        gate.checkWritten(request, late, false, GRACE, 5);
         assertEquals(0, counters.get(Counter.VIOLATIONS_DRAIN), "within the grace");
         late.permittedAt = 5 + GRACE;
-        request.leftAt = 5;
-        gate.written(request, late, false, GRACE, 6 + GRACE);
+        request.clientLeftAt = 5;
+        gate.checkWritten(request, late, false, GRACE, 6 + GRACE);
         assertEquals(1, counters.get(Counter.VIOLATIONS_DRAIN));
         assertEquals(1, counters.get(Counter.VIOLATIONS_CLIENT_GONE));
 
         request.effect = Effect.AT_MOST_ONCE;
-        late.written();
+        late.markWritten();
         Attempt second = attempt();
         second.permittedAt = 1;
-        gate.written(request, second, false, GRACE, 2);
+        gate.checkWritten(request, second, false, GRACE, 2);
         assertEquals(1, counters.get(Counter.VIOLATIONS_REPEAT));
-        late.ended(Outcome.FULL);
-        gate.written(request, second, false, GRACE, 2);
+        late.recordOutcome(Outcome.FULL);
+        gate.checkWritten(request, second, false, GRACE, 2);
         assertEquals(1, counters.get(Counter.VIOLATIONS_REPEAT), "the first was proven not to have run");
     }
 }
--- a/pooler/src/test/java/holdmux/core/WorkersTest.java
+++ b/pooler/src/test/java/holdmux/core/WorkersTest.java
@@ -14,7 +14,7 @@
     void aLastingThreadBeginsAgainWhateverItsWorkThrows() throws Exception {
         Counters counters = new Counters();
         AtomicInteger begun = new AtomicInteger();
-        Thread thread = Workers.lasting("test", counters, () -> {
+        Thread thread = Workers.restartingThread("test", counters, () -> {
             switch (begun.incrementAndGet()) {
                 case 1 -> throw new StackOverflowError();
                 case 2 -> throw new IllegalStateException("test");
