--- a/pooler/src/test/java/holdmux/decision/FleetTest.java
+++ b/pooler/src/test/java/holdmux/decision/FleetTest.java
@@ -1,12 +1,12 @@
 package holdmux.decision;
 
-import static holdmux.decision.Front.ANY;
-import static holdmux.decision.Front.MS;
-import static holdmux.decision.Front.VIEW;
-import static holdmux.decision.Front.request;
-import static holdmux.decision.Front.sends;
-import static holdmux.decision.Front.sentTo;
-import static holdmux.decision.Front.settings;
+import static holdmux.decision.SplitterFixture.ANY;
+import static holdmux.decision.SplitterFixture.MS;
+import static holdmux.decision.SplitterFixture.VIEW;
+import static holdmux.decision.SplitterFixture.request;
+import static holdmux.decision.SplitterFixture.sends;
+import static holdmux.decision.SplitterFixture.sentTo;
+import static holdmux.decision.SplitterFixture.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,67 +22,67 @@
 
 /** What many fronts do that each see a small part of the requests: what one learns alone comes late or never. */
 class FleetTest {
-    private static Front front() {
-        return new Front(settings(Guards.OFF, true), 5).listed();
+    private static SplitterFixture fixture() {
+        return new SplitterFixture(settings(Guards.OFF, true), 5).withThreeStores();
     }
 
-    private static List<Long> asked(List<Action> actions) {
+    private static List<Long> probedStores(List<Action> actions) {
         return actions.stream().filter(Inspect.class::isInstance).map(a -> ((Inspect) a).store()).toList();
     }
 
     /** Guards against refusing reads beside idle replicas, or piling them on primaries, where positions are seldom heard. */
     @Test
-    void aReadAsksAReplicaWhosePositionHasGrownOldAndGoesThere() {
-        Front f = front();
-        f.at(5, f.probe(1, 0, true), f.probe(2, 10, false), f.probe(3, 10, false));
-        List<Action> out = f.at(5_000, request(1, VIEW, 0));
+    void readProbesAReplicaWithAnOutdatedPositionAndGoesThere() {
+        SplitterFixture f = fixture();
+        f.advance(5, f.probeOk(1, 0, true), f.probeOk(2, 10, false), f.probeOk(3, 10, false));
+        List<Action> out = f.advance(5_000, request(1, VIEW, 0));
         assertEquals(0, sentTo(out));
-        long store = asked(out).stream().filter(s -> s != 1).findFirst().orElseThrow();
-        assertEquals(store, sentTo(f.at(2, f.probe(store, 10, false))));
+        long store = probedStores(out).stream().filter(s -> s != 1).findFirst().orElseThrow();
+        assertEquals(store, sentTo(f.advance(2, f.probeOk(store, 10, false))));
     }
 
     /** Guards against probes without end for one read: each is paid by all fronts together. */
     @Test
-    void aReadAsksFewReplicasAndThenTakesThePrimary() {
-        Front f = front();
-        f.at(0, new ListChanged(ListMode.DELTA, 2, LongStream.range(4, 8)
-                .mapToObj(s -> Front.line(s, false, 0, Availability.READY)).toList()));
-        f.at(5, f.probe(1, 0, true), f.probe(2, 10, false), f.probe(3, 10, false), f.probe(4, 10, false),
-                f.probe(5, 10, false), f.probe(6, 10, false), f.probe(7, 10, false));
-        assertEquals(1, f.sentWhenAsked(5_000, request(1, VIEW, 0)));
-        long asked = asked(f.all).stream().filter(s -> s != 1).count();
+    void readProbesFewReplicasAndThenTakesThePrimary() {
+        SplitterFixture f = fixture();
+        f.advance(0, new ListChanged(ListMode.DELTA, 2, LongStream.range(4, 8)
+                .mapToObj(s -> SplitterFixture.line(s, false, 0, Availability.READY)).toList()));
+        f.advance(5, f.probeOk(1, 0, true), f.probeOk(2, 10, false), f.probeOk(3, 10, false), f.probeOk(4, 10, false),
+                f.probeOk(5, 10, false), f.probeOk(6, 10, false), f.probeOk(7, 10, false));
+        assertEquals(1, f.sentToAfterProbes(5_000, request(1, VIEW, 0)));
+        long asked = probedStores(f.actions).stream().filter(s -> s != 1).count();
         assertTrue(asked <= 3, asked + ": two for the read, and the routine's");
     }
 
     /** Guards against a replica that is known to lag far behind being asked again and again. */
     @Test
-    void whoLagsIsNotAsked() {
-        Front f = front();
-        f.at(5, f.probe(1, 0, true), f.probe(2, 9_000, false), f.probe(3, 9_000, false));
-        assertEquals(1, sentTo(f.at(20, request(1, VIEW, 0))));
+    void laggingReplicaIsNotProbed() {
+        SplitterFixture f = fixture();
+        f.advance(5, f.probeOk(1, 0, true), f.probeOk(2, 9_000, false), f.probeOk(3, 9_000, false));
+        assertEquals(1, sentTo(f.advance(20, request(1, VIEW, 0))));
     }
 
     /** Guards against one that fails at once drawing the reads of a busy group since it always looks idle. */
     @Test
-    void aStoreThatOftenFailsAtOnceIsSeldomPicked() {
-        Front f = front();
+    void fastFailingStoreIsRarelyPicked() {
+        SplitterFixture f = fixture();
         int toBad = 0;
         for (long id = 1; id <= 160; id += 4) {
-            f.at(5, f.probe(2, 10, false), f.probe(3, 10, false));
+            f.advance(5, f.probeOk(2, 10, false), f.probeOk(3, 10, false));
             List<Event> served = new ArrayList<>();
             for (long read = id; read < id + 4; read++) {
-                long store = sentTo(f.at(1, request(read, ANY, 0)));
+                long store = sentTo(f.advance(1, request(read, ANY, 0)));
                 if (store == 2) {
                     // at once; one in five is served, so that the store is never ill for long
                     Outcome outcome = ++toBad % 5 == 0 ? Outcome.OK : Outcome.ERROR;
-                    List<Action> again = f.at(1, f.answer(read, 0, 2, outcome, Role.REPLICA, 0));
-                    f.at(0, new ClientLeft(read));
-                    sends(again).forEach(t -> f.at(1, f.answer(t.id(), 1, t.store(), Outcome.CANCELLED, Role.UNKNOWN, 0)));
+                    List<Action> again = f.advance(1, f.answered(read, 0, 2, outcome, Role.REPLICA, 0));
+                    f.advance(0, new ClientLeft(read));
+                    sends(again).forEach(t -> f.advance(1, f.answered(t.id(), 1, t.store(), Outcome.CANCELLED, Role.UNKNOWN, 0)));
                 } else if (store != 0) {
                     served.add(new Answered(read, store, 0, true, Outcome.OK, 50 * MS, Role.UNKNOWN, 0, new float[0]));
                 }
             }
-            f.at(45, served.toArray(Event[]::new));
+            f.advance(45, served.toArray(Event[]::new));
         }
         assertTrue(toBad < 100, toBad + " of 160 to the store that fails");
     }
@@ -92,10 +92,10 @@
      * send a cold store passing the rule, and cold stores standing idle while reads are refused.
      */
     @Test
-    void fourteenFrontsTogetherFillAColdStoreAndNeverPushItOver() {
-        List<Front> all = LongStream.range(0, 14).mapToObj(seed -> Front.oneOf(14, seed)).toList();
-        all.forEach(f -> f.at(0, new ListChanged(ListMode.DELTA, 2, List.of(
-                Front.line(2, false, f.now, Availability.READY), Front.line(3, false, f.now, Availability.READY)))));
+    void fourteenPoolersFillAColdStoreWithoutOverloadingIt() {
+        List<SplitterFixture> all = LongStream.range(0, 14).mapToObj(seed -> SplitterFixture.oneOfMany(14, seed)).toList();
+        all.forEach(f -> f.advance(0, new ListChanged(ListMode.DELTA, 2, List.of(
+                SplitterFixture.line(2, false, f.now, Availability.READY), SplitterFixture.line(3, false, f.now, Availability.READY)))));
         long workMs = 60;
         int stepMs = 70;
         int steps = 170;
@@ -103,14 +103,14 @@
         double[] sent = new double[steps];
         long id = 0;
         for (int step = 0; step < steps; step++) {
-            for (Front f : all) {
+            for (SplitterFixture f : all) {
                 // together the fronts have work for the twelve cores of three warm stores
-                long store = sentTo(f.at(stepMs, f.probe(1, 0, true), request(++id, ANY, 0)));
+                long store = sentTo(f.advance(stepMs, f.probeOk(1, 0, true), request(++id, ANY, 0)));
                 if (store != 0) {
                     sent[step] += store == 2 ? workMs : 0;
-                    f.at(0, new Answered(id, store, 0, true, Outcome.OK, workMs * MS, Role.UNKNOWN, 0, new float[0]));
+                    f.advance(0, new Answered(id, store, 0, true, Outcome.OK, workMs * MS, Role.UNKNOWN, 0, new float[0]));
                 }
-                f.at(0, new ClientLeft(id));
+                f.advance(0, new ClientLeft(id));
             }
         }
         double most = 0;
@@ -129,18 +129,18 @@
 
     /** Guards against new stores left out for want of a probe where waiting reads have spent the routine budget. */
     @Test
-    void aNewStoreIsProbedWhateverElseWasAsked() {
-        Front f = front();
-        f.at(5, f.probe(1, 0, true));
+    void newStoreIsProbedWhenTheProbeBudgetIsSpent() {
+        SplitterFixture f = fixture();
+        f.advance(5, f.probeOk(1, 0, true));
         for (int i = 1; i < 80; i++) {
             // what it tells is old by the next read, which asks again
             List<Event> told = new ArrayList<>();
-            asked(f.at(250, request(i, VIEW, 0))).forEach(store -> told.add(f.probe(store, 0, store == 1)));
-            long sent = sentTo(f.at(1, told.toArray(Event[]::new)));
-            f.at(1, f.answer(i, 0, sent, Outcome.OK, Role.UNKNOWN, 0));
+            probedStores(f.advance(250, request(i, VIEW, 0))).forEach(store -> told.add(f.probeOk(store, 0, store == 1)));
+            long sent = sentTo(f.advance(1, told.toArray(Event[]::new)));
+            f.advance(1, f.answered(i, 0, sent, Outcome.OK, Role.UNKNOWN, 0));
         }
-        f.at(0, new ListChanged(ListMode.DELTA, 2, List.of(Front.line(4, false, 0, Availability.READY))));
-        assertTrue(asked(f.at(1, request(100, VIEW, 0))).contains(4L));
+        f.advance(0, new ListChanged(ListMode.DELTA, 2, List.of(SplitterFixture.line(4, false, 0, Availability.READY))));
+        assertTrue(probedStores(f.advance(1, request(100, VIEW, 0))).contains(4L));
     }
 
     private record Due(long at, long id, long store) {}
@@ -150,49 +150,49 @@
      * worst, in any span of the rule; negative where it stays under. Four of a group's six are started at once. One front has a fifth of all traffic, a quarter has
      * hardly any, a third was started with the store and knows of no load yet, and each sees its arrivals by chance.
      */
-    private static double beyondChance(int fronts, long seed) {
+    private static double excessOverLimit(int poolers, long seed) {
         int stores = 6;
         long workMs = 60;
         double cores = 4;
         Settings settings = settings(Guards.OFF, true);
         SplittableRandom random = new SplittableRandom(seed);
         double perStep = 0.9 * stores * cores / workMs * 5; // in 5 ms, for the fleet
-        double[] share = new double[fronts];
-        for (int i = 0; i < fronts; i++) {
-            share[i] = i == 0 ? 0.2 : 0.8 / fronts * (i % 4 == 0 ? 0.1 : 0.5 + random.nextDouble());
+        double[] share = new double[poolers];
+        for (int i = 0; i < poolers; i++) {
+            share[i] = i == 0 ? 0.2 : 0.8 / poolers * (i % 4 == 0 ? 0.1 : 0.5 + random.nextDouble());
         }
         double all = Arrays.stream(share).sum();
-        List<Front> fleet = new ArrayList<>();
-        List<PriorityQueue<Due>> out = new ArrayList<>();
-        List<Listing> warm = LongStream.rangeClosed(1, stores).mapToObj(s -> Front.line(s, s == 1, 0, Availability.READY)).toList();
-        for (int i = 0; i < fronts; i++) {
-            fleet.add(Front.oneOf(fronts, seed * 1_000 + i));
-            out.add(new PriorityQueue<>(Comparator.comparingLong(Due::at)));
-            fleet.get(i).at(0, new ListChanged(ListMode.FULL, 2, warm));
+        List<SplitterFixture> fixtures = new ArrayList<>();
+        List<PriorityQueue<Due>> inFlight = new ArrayList<>();
+        List<Listing> warm = LongStream.rangeClosed(1, stores).mapToObj(s -> SplitterFixture.line(s, s == 1, 0, Availability.READY)).toList();
+        for (int i = 0; i < poolers; i++) {
+            fixtures.add(SplitterFixture.oneOfMany(poolers, seed * 1_000 + i));
+            inFlight.add(new PriorityQueue<>(Comparator.comparingLong(Due::at)));
+            fixtures.get(i).advance(0, new ListChanged(ListMode.FULL, 2, warm));
         }
-        int before = 2_000;
-        int steps = before + 3_400;
+        int warmupSteps = 2_000;
+        int steps = warmupSteps + 3_400;
         int[] sent = new int[steps];
         long id = 0;
         for (int step = 0; step < steps; step++) {
-            for (int i = 0; i < fronts; i++) {
-                Front f = fleet.get(i);
-                if (step == before) {
+            for (int i = 0; i < poolers; i++) {
+                SplitterFixture f = fixtures.get(i);
+                if (step == warmupSteps) {
                     if (i % 3 == 1) {
-                        Front again = Front.oneOf(fronts, seed * 2_000 + i);
-                        again.now = f.now;
-                        again.at(0, new ListChanged(ListMode.FULL, 2, warm));
-                        fleet.set(i, f = again);
-                        out.get(i).clear();
+                        SplitterFixture restarted = SplitterFixture.oneOfMany(poolers, seed * 2_000 + i);
+                        restarted.now = f.now;
+                        restarted.advance(0, new ListChanged(ListMode.FULL, 2, warm));
+                        fixtures.set(i, f = restarted);
+                        inFlight.get(i).clear();
                     }
-                    long born = f.now;
-                    f.at(0, new ListChanged(ListMode.DELTA, 3, LongStream.rangeClosed(2, 5)
-                            .mapToObj(s -> Front.line(s, false, born, Availability.READY)).toList()));
+                    long startedAt = f.now;
+                    f.advance(0, new ListChanged(ListMode.DELTA, 3, LongStream.rangeClosed(2, 5)
+                            .mapToObj(s -> SplitterFixture.line(s, false, startedAt, Availability.READY)).toList()));
                 }
                 f.now += 5 * MS;
                 List<Event> events = new ArrayList<>();
-                for (Due due = out.get(i).peek(); due != null && due.at() <= f.now; due = out.get(i).peek()) {
-                    out.get(i).poll();
+                for (Due due = inFlight.get(i).peek(); due != null && due.at() <= f.now; due = inFlight.get(i).peek()) {
+                    inFlight.get(i).poll();
                     events.add(new Answered(due.id(), due.store(), 0, true, Outcome.OK, workMs * MS, Role.UNKNOWN, 0, new float[0]));
                 }
                 double left = perStep * share[i] / all;
@@ -202,20 +202,20 @@
                 if (events.isEmpty()) {
                     continue;
                 }
-                f.all.clear();
-                for (Transmit t : sends(f.at(0, events.toArray(Event[]::new)))) {
+                f.actions.clear();
+                for (Transmit t : sends(f.advance(0, events.toArray(Event[]::new)))) {
                     sent[step] += t.store() == 2 ? 1 : 0;
-                    out.get(i).add(new Due(f.now + workMs * MS, t.id(), t.store()));
+                    inFlight.get(i).add(new Due(f.now + workMs * MS, t.id(), t.store()));
                 }
                 if (step % 40 == 0) {
-                    f.at(0, f.probe(1, 0, true));
+                    f.advance(0, f.probeOk(1, 0, true));
                 }
             }
         }
         int window = (int) (settings.rules().fallNs() / (5 * MS));
         double worst = Double.NEGATIVE_INFINITY;
-        for (int from = before; from + window <= steps; from++) {
-            double age = (from - before) * 5.0 * MS / settings.rules().rampNs();
+        for (int from = warmupSteps; from + window <= steps; from++) {
+            double age = (from - warmupSteps) * 5.0 * MS / settings.rules().rampNs();
             double part = Math.min(1, settings.rules().coldShare() + (1 - settings.rules().coldShare()) * age);
             double n = settings.rules().overloadFactor() * part * cores * window * 5 / workMs;
             int got = Arrays.stream(sent, from, from + window).sum();
@@ -226,10 +226,10 @@
 
     /** The sum of what all fronts send a cold store stays under N + 2 x root of N + 2, with no word among them. */
     @Test
-    void noFleetOfAnySizePushesAColdStoreOver() {
+    void fleetsOfAnySizeDoNotOverloadAColdStore() {
         for (int fronts : new int[] {3, 20, 30, 120}) {
             for (long seed = 1; seed <= 5; seed++) {
-                double beyond = beyondChance(fronts, seed);
+                double beyond = excessOverLimit(fronts, seed);
                 assertTrue(beyond < 0, fronts + " fronts, seed " + seed + ": " + beyond + " requests beyond chance");
             }
         }
--- a/pooler/src/test/java/holdmux/discovery/ListVersionsTest.java
+++ b/pooler/src/test/java/holdmux/discovery/ListVersionsTest.java
@@ -7,8 +7,8 @@
 import holdmux.config.HostList;
 import holdmux.config.HostList.Host;
 import holdmux.decision.SplitterApi.Availability;
-import holdmux.discovery.ListVersions.Asked;
-import holdmux.discovery.ListVersions.Verdict;
+import holdmux.discovery.ListVersions.RequestState;
+import holdmux.discovery.ListVersions.Disposition;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -36,48 +36,48 @@
     /** The wish for a whole list used to be cleared by whatever was taken next: a move of discovery then went on from the old version. */
     @Test
     void onlyAWholeListAskedForSinceMeetsTheWishForOne() {
-        Asked before = versions.asked();
-        versions.wantWhole();
+        RequestState before = versions.requestState();
+        versions.requestWholeList();
         HostList change = list(42, false, up);
-        assertEquals(Verdict.TAKE, versions.judge(change, before));
-        versions.taken(change, before);
+        assertEquals(Disposition.APPLY, versions.classify(change, before));
+        versions.applied(change, before);
         HostList early = list(42, true, up);
-        versions.taken(early, before);
-        assertTrue(versions.wholeWanted(), "asked for before the wish");
-        versions.taken(early, versions.asked());
-        assertFalse(versions.wholeWanted());
+        versions.applied(early, before);
+        assertTrue(versions.needsWholeList(), "asked for before the wish");
+        versions.applied(early, versions.requestState());
+        assertFalse(versions.needsWholeList());
     }
 
     /** An agent that counts anew used to be taken for one with nothing new, as its answers to watches name no change. */
     @Test
     void anAgentThatCountsAnewIsAskedForItsWholeList() {
         HostList nothing = list(1, false);
-        assertEquals(Verdict.BEHIND, versions.judge(nothing, versions.asked()));
+        assertEquals(Disposition.BEHIND, versions.classify(nothing, versions.requestState()));
         versions.sawOlder();
-        assertTrue(versions.wholeWanted());
-        Asked early = versions.asked();
+        assertTrue(versions.needsWholeList());
+        RequestState early = versions.requestState();
         HostList whole = list(2, true, up);
-        assertEquals(Verdict.TAKE, versions.judge(whole, early));
-        versions.taken(whole, early);
+        assertEquals(Disposition.APPLY, versions.classify(whole, early));
+        versions.applied(whole, early);
         assertEquals(2, versions.version());
-        assertEquals(Verdict.OVERTAKEN, versions.judge(list(43, false, up), early), "asked for under the old numbering");
+        assertEquals(Disposition.SUPERSEDED, versions.classify(list(43, false, up), early), "asked for under the old numbering");
     }
 
     /** A version that moved on without a change used to be taken for the present state. */
     @Test
     void anAdvanceWithoutAChangeIsInDoubt() {
         HostList empty = list(42, false);
-        assertEquals(Verdict.EMPTY_ADVANCE, versions.judge(empty, versions.asked()));
+        assertEquals(Disposition.EMPTY_ADVANCE, versions.classify(empty, versions.requestState()));
         versions.advanced(empty);
-        assertTrue(versions.wholeWanted());
-        assertEquals(Verdict.NOTHING_NEW, versions.judge(empty, versions.asked()));
+        assertTrue(versions.needsWholeList());
+        assertEquals(Disposition.UNCHANGED, versions.classify(empty, versions.requestState()));
     }
 
     /** The only entry of a change could not be read: the version went on over it, and nothing asked for it again. */
     @Test
     void anEntryThatCannotBeReadIsAChange() {
         HostList unfit = new HostList(42, false, List.of(), List.of(new HostList.Unfit("s", "draining", "no dial")));
-        assertEquals(Verdict.TAKE, versions.judge(unfit, versions.asked()));
+        assertEquals(Disposition.APPLY, versions.classify(unfit, versions.requestState()));
     }
 
     /** Answers that overlap, get lost, advance without a change or follow a renumbering: the agent's state is in force in the end. */
@@ -96,7 +96,7 @@
 
     /** An agent with versions, and a caller with calls under way; a version says since when each server is as it is. */
     private static final class World {
-        private record Call(Asked asked, boolean whole) {}
+        private record Call(RequestState asked, boolean whole) {}
 
         final Map<String, Availability> agent = new TreeMap<>();
         final Map<String, Availability> taken = new TreeMap<>();
@@ -113,7 +113,7 @@
                 changedAt.put("s" + i, 41L);
             }
             taken.putAll(agent);
-            versions = new ListVersions(view(new Call(new Asked(0, 0, 0), true), false));
+            versions = new ListVersions(view(new Call(new RequestState(0, 0, 0), true), false));
         }
 
         void step() {
@@ -138,11 +138,11 @@
         }
 
         void wish() {
-            versions.wantWhole();
+            versions.requestWholeList();
         }
 
         Call ask() {
-            return new Call(versions.asked(), versions.wholeWanted());
+            return new Call(versions.requestState(), versions.needsWholeList());
         }
 
         private void answerAny(boolean withoutChange) {
@@ -153,15 +153,15 @@
 
         void answer(Call call, boolean withoutChange) {
             HostList list = view(call, withoutChange && !call.whole());
-            switch (versions.judge(list, call.asked())) {
-                case TAKE -> {
+            switch (versions.classify(list, call.asked())) {
+                case APPLY -> {
                     list.hosts().forEach(host -> taken.put(host.name(), host.availability()));
-                    versions.taken(list, call.asked());
+                    versions.applied(list, call.asked());
                 }
-                case NOTHING_NEW -> versions.confirmed();
+                case UNCHANGED -> versions.confirmed();
                 case EMPTY_ADVANCE -> versions.advanced(list);
                 case BEHIND, OLDER -> versions.sawOlder();
-                case OVERTAKEN -> { }
+                case SUPERSEDED -> { }
                 default -> throw new AssertionError();
             }
         }
--- a/pooler/src/test/java/holdmux/discovery/WatchTest.java
+++ b/pooler/src/test/java/holdmux/discovery/WatchTest.java
@@ -33,7 +33,7 @@
     /** What was told binds after this; a process may be held up for so long between its clock and its write. */
     private static final long GRACE_MS = 2_000, HELD_UP_MS = 150;
     private static final long CONNECT_MS = 300;
-    private static final CallSchedule ASKED = CallSchedule.ASKED, PUSHED = CallSchedule.PUSHED;
+    private static final CallSchedule ASKED = CallSchedule.SUBSCRIBED, PUSHED = CallSchedule.PUSHED;
 
     private final Counters counters = new Counters();
     private final LinkedBlockingQueue<Long> taken = new LinkedBlockingQueue<>();
@@ -42,7 +42,7 @@
     /** Starts a watch at this agent that knows version 41. */
     private void follow(ServerSocket agent) {
         HostList known = HostList.decode("{\"seq\":41,\"whole\":true,\"hosts\":[" + HOST + "]}");
-        Workers.thread("watch", new Watch(Agents.only((InetSocketAddress) agent.getLocalSocketAddress()), known,
+        Workers.newThread("watch", new Watch(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()), known,
                 () -> true, 7, counters, l -> taken.add(l.seq()))).start();
     }
 
@@ -85,7 +85,7 @@
      */
     @Test
     void aSilentCallIsMadeAnewBeforeWhatItMissesCounts() throws Exception {
-        assertTrue(ASKED.patienceMs(true, 0) <= 3_000 && ASKED.patienceMs(false, 0) <= 3_000);
+        assertTrue(ASKED.timeoutMs(true, 0) <= 3_000 && ASKED.timeoutMs(false, 0) <= 3_000);
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             follow(agent);
             try (Socket silent = agent.accept()) {
@@ -118,7 +118,7 @@
             long sum = untilThirdCall(ASKED, begins) + CONNECT_MS;
             assertTrue(sum <= TOLD_MS - 400, begins + ": " + sum);
         }
-        long returned = ASKED.patienceMs(true, 1_000) + 750;
+        long returned = ASKED.timeoutMs(true, 1_000) + 750;
         assertTrue(returned <= 4_000, "a call that was silent as discovery came back, after a new configuration: " + returned);
     }
 
@@ -127,9 +127,9 @@
         long most = 0;
         for (int seed = 0; seed < 2_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            most = Math.max(most, schedule.pauseMs(1, random) + schedule.pauseMs(2, random));
+            most = Math.max(most, schedule.backoffMs(1, random) + schedule.backoffMs(2, random));
         }
-        return schedule.patienceMs(begins, 0) + schedule.patienceMs(true, 1) + most;
+        return schedule.timeoutMs(begins, 0) + schedule.timeoutMs(true, 1) + most;
     }
 
     /** Where lists are pushed, what the agent has binds 2 s later, whether or not a watch is open: two calls may be silent. */
@@ -148,7 +148,7 @@
             follow(agent);
             try (Socket half = agent.accept()) {
                 long by = System.nanoTime() + 3_000_000_000L;
-                Thread drips = Workers.thread("drips", () -> {
+                Thread drips = Workers.newThread("drips", () -> {
                     try {
                         for (byte b : ("HTTP/1.1 200 OK\r\nX-Padding: " + "x".repeat(1_000)).getBytes(StandardCharsets.UTF_8)) {
                             half.getOutputStream().write(b);
@@ -230,7 +230,7 @@
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             HostList known = HostList.decode("{\"seq\":41,\"whole\":true,\"hosts\":[" + HOST + "]}");
             List<Error> faults = new ArrayList<>(List.of(new StackOverflowError()));
-            Workers.thread("watch", new Watch(Agents.only((InetSocketAddress) agent.getLocalSocketAddress()), known, () -> true, 7, counters, l -> {
+            Workers.newThread("watch", new Watch(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()), known, () -> true, 7, counters, l -> {
                 if (!faults.isEmpty()) {
                     throw faults.remove(0);
                 }
@@ -248,9 +248,9 @@
         List<Long> first = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            first.add(ASKED.pauseMs(1, random));
+            first.add(ASKED.backoffMs(1, random));
             assertTrue(first.get(seed) >= 100 && first.get(seed) < 300);
-            long late = ASKED.pauseMs(1_000_000, random);
+            long late = ASKED.backoffMs(1_000_000, random);
             assertTrue(late >= 250 && late < 750, "at most " + late);
         }
         assertNotEquals(1, first.stream().distinct().count());
@@ -260,7 +260,7 @@
     @Test
     void aPushedListIsAskedForAtOnceAndConfirmed() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(Agents.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
             assertEquals("", call(agent, list(42, true)));
             assertEquals(42, taken.take());
             confirmed.acquire();
@@ -275,7 +275,7 @@
     @Test
     void aListBehindUnreadableAnswersIsNotTrusted() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(Agents.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
             call(agent, list(42, true));
             confirmed.acquire();
             call(agent, "200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\"");
@@ -298,7 +298,7 @@
                 ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress first = (InetSocketAddress) gone.getLocalSocketAddress();
             gone.close();
-            followPushed(new Agents(first, (InetSocketAddress) agent.getLocalSocketAddress()));
+            followPushed(new AgentAddresses(first, (InetSocketAddress) agent.getLocalSocketAddress()));
             call(agent, list(41, true));
             confirmed.acquire();
             assertEquals("?from=41&hold_ms=400", call(agent, empty(41)), "it is the one that is followed");
@@ -309,7 +309,7 @@
     @Test
     void anEntryThatCannotBeReadHasTheWholeListAskedFor() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(Agents.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
             call(agent, list(41, true));
             confirmed.acquire();
             call(agent, answer("{\"seq\":42,\"whole\":false,\"hosts\":[{\"health\":\"draining\"}]}"));
@@ -323,7 +323,7 @@
     @Test
     void anAgentThatHoldsNothingIsNotAskedWithoutPause() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(Agents.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
             call(agent, list(41, true));
             long since = System.nanoTime();
             for (int i = 0; i < 5; i++) {
@@ -333,9 +333,9 @@
         }
     }
 
-    private void followPushed(Agents agents) {
+    private void followPushed(AgentAddresses agents) {
         HostList known = HostList.decode("{\"seq\":41,\"whole\":true,\"hosts\":[" + HOST + "]}");
-        Workers.thread("watch", new Watch(agents, known, () -> false, 7, counters, new ListListener() {
+        Workers.newThread("watch", new Watch(agents, known, () -> false, 7, counters, new ListListener() {
             @Override
             public void changed(HostList list) {
                 taken.add(list.seq());
--- a/pooler/src/test/java/holdmux/management/ManagementServerTest.java
+++ b/pooler/src/test/java/holdmux/management/ManagementServerTest.java
@@ -37,7 +37,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        Workers.thread("management", new ManagementServer(address, operations(), new Counters())).start();
+        Workers.newThread("management", new ManagementServer(address, operations(), new Counters())).start();
     }
 
     private Operations operations() {
--- a/pooler/src/test/java/holdmux/pg/AnswerTest.java
+++ b/pooler/src/test/java/holdmux/pg/AnswerTest.java
@@ -4,7 +4,7 @@
 import holdmux.core.ServerStatus;
 import holdmux.decision.SplitterApi.Outcome;
 import holdmux.decision.SplitterApi.Role;
-import holdmux.statement.Buffers;
+import holdmux.statement.BufferPool;
 import holdmux.statement.SqlState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -27,30 +27,30 @@
 class AnswerTest {
     private static final long MS = 1_000_000L;
     private static final long ZERO_S = 1_767_225_000L;
-    private static final ServerStatus.Form FORM =
-            new ServerStatus.Form(List.of("x0", "x1", "outstanding", "utilization"), ZERO_S * 1_000 * MS);
+    private static final ServerStatus.ReportFormat REPORT_FORMAT =
+            new ServerStatus.ReportFormat(List.of("x0", "x1", "outstanding", "utilization"), ZERO_S * 1_000 * MS);
 
-    private static byte[] bytes(Consumer<Message> composer) {
-        Message message = new Message(new byte[1_024]);
+    private static byte[] bytes(Consumer<MessageBuilder> composer) {
+        MessageBuilder message = new MessageBuilder(new byte[1_024]);
         composer.accept(message);
         byte[] bytes = new byte[message.bytes().remaining()];
         message.bytes().get(bytes);
         return bytes;
     }
 
-    static Message row(Message message, String value) {
+    static MessageBuilder result(MessageBuilder message, String value) {
         byte[] data = value.getBytes(StandardCharsets.UTF_8);
         return message.begin('T').putShort(1).put("data").put(0).putShort(0).put(17).putShort(-1).put(-1).putShort(1)
                 .end().begin('D').putShort(1).put(data.length).put(data, 0, data.length).end()
                 .begin('C').put("SELECT 1").end();
     }
 
-    private static final byte[] SERVED = bytes(m -> row(m, "v1").parameterStatus("replication_role", "standby")
+    private static final byte[] SERVED = bytes(m -> result(m, "v1").parameterStatus("replication_role", "standby")
             .parameterStatus("log_position", "1767225600123")
             .parameterStatus("pressure", "x0=1767225599.5,x1=0,inflight=7,util=0.61").readyForQuery());
 
     private static Answer answer(byte[] bytes) throws ProtocolException {
-        Answer answer = new Answer(Arrays.copyOf(bytes, 2_048), FORM);
+        Answer answer = new Answer(Arrays.copyOf(bytes, 2_048), REPORT_FORMAT);
         answer.parse(bytes.length);
         return answer;
     }
@@ -60,9 +60,9 @@
     }
 
     @Test
-    void aServedAnswerTellsRolePositionAndReport() throws ProtocolException, IOException {
+    void aServedAnswerCarriesRolePositionAndReport() throws ProtocolException, IOException {
         Answer answer = answer(SERVED);
-        assertTrue(answer.whole());
+        assertTrue(answer.endedCleanly());
         Reply reply = answer.reply();
         assertEquals(Outcome.OK, reply.outcome());
         assertEquals(Role.REPLICA, reply.role());
@@ -70,8 +70,8 @@
         assertArrayEquals(new float[] {599.5f, 0, 7, 0.61f}, reply.report());
         ByteArrayOutputStream client = new ByteArrayOutputStream();
         answer.writeTo(client);
-        assertArrayEquals(bytes(m -> row(m, "v1").readyForQuery()), client.toByteArray(), "the row as it came");
-        Answer full = new Answer(bytes(m -> row(m, "v1")), FORM); // a break left no room behind the row
+        assertArrayEquals(bytes(m -> result(m, "v1").readyForQuery()), client.toByteArray(), "the row as it came");
+        Answer full = new Answer(bytes(m -> result(m, "v1")), REPORT_FORMAT); // a break left no room behind the row
         full.parse(full.buffer.length);
         ByteArrayOutputStream other = new ByteArrayOutputStream();
         full.writeTo(other);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void errorsMapByTheProtocolsTable() throws ProtocolException {
+    void sqlStatesMapToOutcomes() throws ProtocolException {
         assertEquals(Outcome.MISS, errorOutcome("25006"));
         assertEquals(Outcome.MISS, errorOutcome("72000"));
         assertEquals(Outcome.FULL, errorOutcome("53300"));
@@ -89,36 +89,36 @@
 
     @Test
     void aProbeReadsItsRowAsTheReport() throws ProtocolException {
-        Answer answer = answer(bytes(m -> row(m, "util=0.25,x0=1767225001,x1=1,inflight=2").readyForQuery()));
+        Answer answer = answer(bytes(m -> result(m, "util=0.25,x0=1767225001,x1=1,inflight=2").readyForQuery()));
         assertArrayEquals(new float[] {1, 1, 2, 0.25f}, answer.probeReply().report());
         Answer busy = answer(bytes(m -> m.error(false, "57P03", "busy", null).readyForQuery()));
         assertEquals(Outcome.FULL, busy.probeReply().outcome());
-        Answer torn = answer(bytes(m -> row(m, "x0=17672").readyForQuery()));
-        assertEquals(0, torn.probeReply().report().length, "half a report is none");
+        Answer truncated = answer(bytes(m -> result(m, "x0=17672").readyForQuery()));
+        assertEquals(0, truncated.probeReply().report().length, "half a report is none");
     }
 
     /** Only the row given for this very request is served: never two, and none without its description. */
     @Test
-    void oddResultsAreNotServed() throws ProtocolException {
+    void malformedResultsAreNotServed() throws ProtocolException {
         assertThrows(ProtocolException.class, () -> answer(bytes(m -> m.begin('D').putShort(0).end())));
-        assertThrows(ProtocolException.class, () -> answer(bytes(m -> row(row(m, "a"), "b"))));
+        assertThrows(ProtocolException.class, () -> answer(bytes(m -> result(result(m, "a"), "b"))));
         Answer empty = answer(bytes(m -> m.begin('C').put("SELECT 0").end().readyForQuery()));
         assertEquals(Outcome.ERROR, empty.reply().outcome());
     }
 
     /** A good answer with noise or a second copy behind it is served; its connection is not used again. */
     @Test
-    void whatStandsBehindAnAnswerSpoilsOnlyItsConnection() throws ProtocolException {
-        Answer answer = answer(bytes(m -> row(row(m, "a").readyForQuery(), "a").readyForQuery()));
+    void bytesBehindAnAnswerOnlyPreventReuseOfItsConnection() throws ProtocolException {
+        Answer answer = answer(bytes(m -> result(result(m, "a").readyForQuery(), "a").readyForQuery()));
         assertEquals(Outcome.OK, answer.reply().outcome());
-        assertFalse(answer.whole());
+        assertFalse(answer.endedCleanly());
     }
 
     /** A report that is no number must not reach the module: its averages would never recover from it. */
     @Test
-    void aReportThatCannotBeReadWasNotTold() throws ProtocolException {
+    void anUnreadableReportIsIgnored() throws ProtocolException {
         for (String bad : List.of("NaN", "Infinity", "-1", "%%%", "1e999")) {
-            Answer answer = answer(bytes(m -> row(m, "a")
+            Answer answer = answer(bytes(m -> result(m, "a")
                     .parameterStatus("pressure", "x0=1767225599.5,x1=0,inflight=7,util=" + bad).readyForQuery()));
             assertEquals(Outcome.OK, answer.reply().outcome());
             assertEquals(0, answer.reply().report().length, bad);
@@ -126,8 +126,8 @@
     }
 
     @Property(tries = 200, seed = "21")
-    void piecesGiveTheSameAsTheWhole(@ForAll @IntRange(min = 1, max = 60) int piece) throws ProtocolException {
-        Answer answer = new Answer(new byte[2_048], FORM);
+    void incrementalParsingMatchesParsingAtOnce(@ForAll @IntRange(min = 1, max = 60) int piece) throws ProtocolException {
+        Answer answer = new Answer(new byte[2_048], REPORT_FORMAT);
         for (int length = 0; length < SERVED.length; length = Math.min(SERVED.length, length + piece)) {
             System.arraycopy(SERVED, 0, answer.buffer, 0, length);
             assertFalse(answer.parse(length), "not whole at " + length);
@@ -138,7 +138,7 @@
     }
 
     @Property(tries = 500, seed = "22")
-    void garbageIsRefusedInOrder(@ForAll byte[] garbage, @ForAll @IntRange(max = 90) int at) {
+    void garbageRaisesOnlyProtocolViolations(@ForAll byte[] garbage, @ForAll @IntRange(max = 90) int at) {
         byte[] bytes = SERVED.clone();
         System.arraycopy(garbage, 0, bytes, at, Math.min(garbage.length, bytes.length - at));
         for (byte[] input : new byte[][] {garbage, bytes}) {
@@ -153,21 +153,21 @@
 
     /** A long row begins as soon as its head has come, and only if its lengths fit each other. */
     @Test
-    void aLongRowBeginsAtItsHead() throws ProtocolException {
+    void aLongRowStreamsOnceItsLengthsHaveCome() throws ProtocolException {
         for (int length : new int[] {64 * 1024, 64 * 1024 + 1, 4 * 1024 * 1024}) {
-            Answer answer = begun(length + 10, length);
-            assertEquals(length > 64 * 1024, answer.begun());
-            assertEquals(answer.begun() ? length : -1, answer.toCome());
+            Answer answer = streamingAnswer(length + 10, length);
+            assertEquals(length > 64 * 1024, answer.isStreaming());
+            assertEquals(answer.isStreaming() ? length : -1, answer.remainingRowBytes());
         }
-        assertThrows(ProtocolException.class, () -> begun(100_010, 99_999));
-        assertThrows(ProtocolException.class, () -> begun(5 << 20, (5 << 20) - 10));
-        assertThrows(ProtocolException.class, () -> begun(Integer.MAX_VALUE, Integer.MAX_VALUE - 10));
+        assertThrows(ProtocolException.class, () -> streamingAnswer(100_010, 99_999));
+        assertThrows(ProtocolException.class, () -> streamingAnswer(5 << 20, (5 << 20) - 10));
+        assertThrows(ProtocolException.class, () -> streamingAnswer(Integer.MAX_VALUE, Integer.MAX_VALUE - 10));
     }
 
-    private static Answer begun(int row, int value) throws ProtocolException {
+    private static Answer streamingAnswer(int messageLength, int valueLength) throws ProtocolException {
         byte[] bytes = bytes(m -> m.begin('T').putShort(1).put("data").put(0).putShort(0).put(17).putShort(-1).put(-1)
-                .putShort(1).end().put('D').put(row).putShort(1).put(value));
-        Answer answer = new Answer(Arrays.copyOf(bytes, Buffers.SIZE), FORM);
+                .putShort(1).end().put('D').put(messageLength).putShort(1).put(valueLength));
+        Answer answer = new Answer(Arrays.copyOf(bytes, BufferPool.BUFFER_SIZE), REPORT_FORMAT);
         answer.parse(bytes.length);
         return answer;
     }
--- a/pooler/src/test/java/holdmux/pg/ClientInputTest.java
+++ b/pooler/src/test/java/holdmux/pg/ClientInputTest.java
@@ -4,17 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import holdmux.core.Clock;
-import holdmux.core.TimedInputTest;
+import holdmux.core.DeadlineInputStreamTest;
 import java.io.EOFException;
 import org.junit.jupiter.api.Test;
 
 class ClientInputTest {
     /** A read that a signal interrupted used to pass for the client's end: what it had asked was given up unanswered. */
     @Test
-    void anInterruptedReadIsNotTheClientsEnd() throws Exception {
-        ClientInput in = new ClientInput(TimedInputTest.socketReturning(-3, 1, 1, -3, -3, 1, 1, -1), new Clock());
-        in.within(1_000, 1_000);
-        assertEquals(0x78787878, in.number());
-        assertThrows(EOFException.class, in::number);
+    void anInterruptedReadIsNotEndOfInput() throws Exception {
+        ClientInput in = new ClientInput(DeadlineInputStreamTest.socketReturning(-3, 1, 1, -3, -3, 1, 1, -1), new Clock());
+        in.setTimeLimits(1_000, 1_000);
+        assertEquals(0x78787878, in.readInt());
+        assertThrows(EOFException.class, in::readInt);
     }
 }
--- a/pooler/src/test/java/holdmux/pg/RehearsalTest.java
+++ b/pooler/src/test/java/holdmux/pg/JitWarmUpTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class RehearsalTest {
+class JitWarmUpTest {
     /** Guards against a rehearsal that no longer reaches what it is to warm: parsed answers and sends. */
     @Test
-    void theRehearsalParsesAndSends(@TempDir Path folder) throws Exception {
+    void warmUpParsesAndSends(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, ConfigTest.sample());
         Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()), 1_767_225_000_000_000_000L);
-        assertTrue(Rehearsal.run(config.deployment()) > 2_000);
+        assertTrue(JitWarmUp.run(config.deployment()) > 2_000);
     }
 }
--- a/pooler/src/test/java/holdmux/pg/PoolerTest.java
+++ b/pooler/src/test/java/holdmux/pg/PoolerTest.java
@@ -9,10 +9,10 @@
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Deadlines;
-import holdmux.core.Fleet;
+import holdmux.core.ServerRegistry;
 import holdmux.core.ServerSlots;
 import holdmux.core.Services;
-import holdmux.core.Shared;
+import holdmux.core.OtherProcess;
 import holdmux.core.Upstreams;
 import holdmux.core.Workers;
 import holdmux.statement.SqlState;
@@ -57,7 +57,7 @@
             + "/* id=9b,c=save-quote,d=3000,cluster=2 */";
 
     /** For messages of the usual kind. */
-    private static final int ROOM = 200_000;
+    private static final int MESSAGE_BYTES = 200_000;
     private static final int MIB = 1 << 20;
 
     /** Descriptors of the pooler: half of them, 20, for clients. */
@@ -73,19 +73,19 @@
     private Config config;
     private Balancer balancer;
     /** What the server answers to a request. */
-    private volatile Consumer<Message> script = m -> AnswerTest.row(m, "v").parameterStatus("replication_role", "primary")
+    private volatile Consumer<MessageBuilder> answerScript = m -> AnswerTest.result(m, "v").parameterStatus("replication_role", "primary")
             .readyForQuery();
 
     /** Where not null, what it answers instead, a piece for each permit. */
     private volatile byte[][] pieces;
     private final Semaphore nextPiece = new Semaphore(0);
     /** What happens before a connection to the server comes up. */
-    private volatile Runnable greeting = () -> { };
+    private volatile Runnable beforeGreeting = () -> { };
 
     @BeforeEach
     void start() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Workers.thread("scripted server", this::serve).start();
+        Workers.newThread("scripted server", this::acceptConnections).start();
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
@@ -98,19 +98,19 @@
                 clock.now());
         Deadlines deadlines = new Deadlines(clock);
         Workers workers = new Workers(20);
-        Fleet fleet = new Fleet(List.of(), List.of());
+        ServerRegistry registry = new ServerRegistry(List.of(), List.of());
         balancer = new Balancer(config.deployment(), 1, clock, deadlines, counters,
-                fleet, workers);
-        Shared shared = new Shared();
-        ServerSlots slots = new ServerSlots(config.caps().servers(), shared);
-        balancer.connect(new Upstreams(fleet, new PgUpstream(config.caps(), fleet, clock, deadlines, counters,
-                balancer::deployment, shared, slots))::of);
-        front = new PgFront(new Services(config, balancer, new Admission(balancer::deployment, fleet), fleet, clock,
-                deadlines, counters, workers, shared, slots), ready);
+                registry, workers);
+        OtherProcess otherProcess = new OtherProcess();
+        ServerSlots slots = new ServerSlots(config.caps().servers(), otherProcess);
+        balancer.setUpstreams(new Upstreams(registry, new PgUpstream(config.caps(), registry, clock, deadlines, counters,
+                balancer::deployment, otherProcess, slots))::forServer);
+        front = new PgFront(new Services(config, balancer, new Admission(balancer::deployment, registry), registry, clock,
+                deadlines, counters, workers, otherProcess, slots), ready);
         front.listen();
-        balancer.listChanged(config.known(), true);
-        Workers.thread("deadlines", deadlines::run).start();
-        Workers.thread("front", () -> {
+        balancer.listChanged(config.cachedList(), true);
+        Workers.newThread("deadlines", deadlines::run).start();
+        Workers.newThread("front", () -> {
             try {
                 front.run();
             } catch (IOException e) {
@@ -126,33 +126,33 @@
         server.close();
     }
 
-    private void serve() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = server.accept();
-                Workers.thread("scripted connection", () -> speak(socket)).start();
+                Workers.newThread("scripted connection", () -> serveConnection(socket)).start();
             }
         } catch (IOException e) {
             // the test is over
         }
     }
 
-    private void speak(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             in.readNBytes(in.readInt() - 4);
-            greeting.run();
+            beforeGreeting.run();
             send(socket, m -> m.begin('R').put(0).end().readyForQuery());
             while (in.read() == 'Q') {
                 String query = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8).replace("\0", "");
                 if (query.startsWith("SHOW")) {
-                    send(socket, m -> AnswerTest.row(m, "x0=1,x1=1,inflight=0,util=0").readyForQuery());
+                    send(socket, m -> AnswerTest.result(m, "x0=1,x1=1,inflight=0,util=0").readyForQuery());
                 } else {
                     queries.add(query);
-                    Consumer<Message> now = script;
+                    Consumer<MessageBuilder> now = answerScript;
                     byte[][] inPieces = pieces;
                     if (inPieces != null) {
-                        speakInPieces(socket, inPieces);
+                        sendPieces(socket, inPieces);
                     } else if (now != null) {
                         send(socket, now);
                     }
@@ -167,7 +167,7 @@
     }
 
     /** Each piece goes out once the client has the one before; null ends the connection. */
-    private void speakInPieces(Socket socket, byte[][] inPieces) throws IOException {
+    private void sendPieces(Socket socket, byte[][] inPieces) throws IOException {
         for (byte[] piece : inPieces) {
             if (piece != null) {
                 nextPiece.acquireUninterruptibly();
@@ -176,26 +176,26 @@
         }
     }
 
-    private static void send(Socket socket, Consumer<Message> composer) throws IOException {
-        Message message = new Message(new byte[ROOM]);
+    private static void send(Socket socket, Consumer<MessageBuilder> composer) throws IOException {
+        MessageBuilder message = new MessageBuilder(new byte[MESSAGE_BYTES]);
         composer.accept(message);
         message.writeTo(socket.getOutputStream());
     }
 
-    private static void startup(Message message) {
-        message.beginUntyped().put(Message.PROTOCOL_3).put("user").put("portal").put('\0').end();
+    private static void startup(MessageBuilder message) {
+        message.beginUntyped().put(MessageBuilder.PROTOCOL_3).put("user").put("portal").put('\0').end();
     }
 
-    private static void query(Message message, String text) {
+    private static void query(MessageBuilder message, String text) {
         message.begin('Q').put(text).end();
     }
 
     /** The types of the messages up to and with this many ReadyForQuery, or the end. */
-    private static String types(Socket socket, int readies) throws IOException {
+    private static String readTypes(Socket socket, int readyCount) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         StringBuilder types = new StringBuilder();
-        int seen = 0;
-        while (seen < readies) {
+        int readyForQuerySeen = 0;
+        while (readyForQuerySeen < readyCount) {
             int type;
             try {
                 type = in.read();
@@ -211,12 +211,12 @@
             if (type == 'E') {
                 types.append(body.split("\0C")[1], 0, 5);
             }
-            seen += type == 'Z' ? 1 : 0;
+            readyForQuerySeen += type == 'Z' ? 1 : 0;
         }
         return types.toString().replace("RSSSSSSKZ", "hello ");
     }
 
-    private static void pause(long ms) {
+    private static void sleep(long ms) {
         try {
             Thread.sleep(ms);
         } catch (InterruptedException e) {
@@ -234,7 +234,7 @@
                 startup(m);
                 query(m, query);
             });
-            return types(client, 2);
+            return readTypes(client, 2);
         }
     }
 
@@ -257,11 +257,11 @@
                 startup(m);
                 m.begin('P').put("extended").end();
             });
-            assertEquals("hello E0A000|", types(client, 2));
+            assertEquals("hello E0A000|", readTypes(client, 2));
         }
         try (Socket client = client()) {
             send(client, m -> m.put(1 << 30).put(0));
-            assertEquals("E08P01|", types(client, 1));
+            assertEquals("E08P01|", readTypes(client, 1));
         }
         assertEquals(6, counters.get(Counter.BAD_INPUT));
         assertTrue(queries.isEmpty());
@@ -269,7 +269,7 @@
 
     /** An insert of 4 MiB lies in many buffers, and goes on unchanged but for d; far longer ones are refused at their head. */
     @Test
-    void aLongStatementIsServedWhole() throws IOException {
+    void aLongStatementIsForwardedUnchanged() throws IOException {
         String insert = WRITE.replace("\\x9f", "\\x" + "9f0a".repeat(2 * MIB));
         try (Socket client = client()) {
             send(client, PoolerTest::startup);
@@ -277,16 +277,16 @@
             client.getOutputStream().write(ByteBuffer.allocate(5).put((byte) 'Q').putInt(text.length + 5).array());
             client.getOutputStream().write(text);
             client.getOutputStream().write(0);
-            assertEquals("hello TDCZ", types(client, 2));
+            assertEquals("hello TDCZ", readTypes(client, 2));
             assertEquals(insert, queries.get(0).replaceAll("d=\\d+,", "d=3000,"));
             client.getOutputStream().write(ByteBuffer.allocate(5).put((byte) 'Q').putInt(60 * MIB).array());
-            assertEquals("E54000|", types(client, 1));
+            assertEquals("E54000|", readTypes(client, 1));
         }
     }
 
     /** A client that is slow but goes on is waited for: only a pause ends a message, not its whole time. */
     @Test
-    void aSlowWriterIsHeard() throws Exception {
+    void aSlowWriterIsServed() throws Exception {
         byte[] text = (WRITE + "\0").getBytes(StandardCharsets.UTF_8);
         try (Socket client = client()) {
             send(client, PoolerTest::startup);
@@ -297,13 +297,13 @@
                 client.getOutputStream().write(text, at, Math.min(100, text.length - at));
                 Thread.sleep(1_500);
             }
-            assertEquals("hello TDCZ", types(client, 2));
+            assertEquals("hello TDCZ", readTypes(client, 2));
         }
     }
 
     private static byte[] longRow(int value) {
-        Message message = new Message(new byte[value + 1_000]);
-        AnswerTest.row(message, "v".repeat(value)).readyForQuery();
+        MessageBuilder message = new MessageBuilder(new byte[value + 1_000]);
+        AnswerTest.result(message, "v".repeat(value)).readyForQuery();
         byte[] bytes = new byte[message.bytes().remaining()];
         message.bytes().get(bytes);
         return bytes;
@@ -311,7 +311,7 @@
 
     /** A long value is passed on as it comes: held until whole, a few of them would take all memory. */
     @Test
-    void aLongAnswerPassesThroughInPieces() throws Exception {
+    void aLongAnswerIsStreamed() throws Exception {
         byte[] answer = longRow(4 * MIB);
         pieces = new byte[][] {Arrays.copyOf(answer, 70_000), Arrays.copyOfRange(answer, 70_000, answer.length)};
         try (Socket client = client()) {
@@ -319,7 +319,7 @@
                 startup(m);
                 query(m, WRITE);
             });
-            assertEquals("hello ", types(client, 1));
+            assertEquals("hello ", readTypes(client, 1));
             nextPiece.release();
             byte[] first = client.getInputStream().readNBytes(70_000);
             assertArrayEquals(pieces[0], first, "before the server gave the rest");
@@ -328,7 +328,7 @@
             assertArrayEquals(pieces[1], rest);
             pieces = null;
             send(client, m -> query(m, WRITE));
-            assertEquals("TDCZ", types(client, 1));
+            assertEquals("TDCZ", readTypes(client, 1));
         }
         assertEquals(1, counters.get(Counter.LONG_ANSWERS));
         assertTrue(counters.get(Counter.SERVER_REUSES) > 0, "the server's connection is used again");
@@ -336,7 +336,7 @@
 
     /** What breaks midway must show as failed, and must not be asked for again: its client has seen a part of it. */
     @Test
-    void aLongAnswerThatBreaksEndsTheClientsConnection() throws Exception {
+    void aBrokenLongAnswerClosesTheClientConnection() throws Exception {
         pieces = new byte[][] {Arrays.copyOf(longRow(MIB), 100_000), null};
         nextPiece.release(10);
         String types = ask(WRITE.replace("save-quote", "my-quotes").replace("INSERT INTO facts (code, data) VALUES ('7f', "
@@ -347,18 +347,18 @@
 
     /** An answer that stops short behind its row has served: its client waited for the rest until its time was over. */
     @Test
-    void anAnswerThatStopsShortBehindItsRowIsServedAtOnce() throws Exception {
-        script = m -> AnswerTest.row(m, "v");
+    void anAnswerWithoutReadyForQueryIsServedAtOnce() throws Exception {
+        answerScript = m -> AnswerTest.result(m, "v");
         long start = System.nanoTime();
         assertEquals("hello TDCZ", ask(WRITE));
         assertTrue(System.nanoTime() - start < 2_500 * Clock.MS, "the attempt's 3 s were waited for");
-        script = m -> AnswerTest.row(m, "v").readyForQuery();
+        answerScript = m -> AnswerTest.result(m, "v").readyForQuery();
         assertEquals("hello TDCZ", ask(WRITE), "on another connection");
     }
 
     /** A spoilt answer that begins a long value and then gives nothing: its client must be able to tell near its time. */
     @Test
-    void aLongAnswerThatFallsSilentEndsTheClientsConnectionInTime() throws Exception {
+    void aStalledLongAnswerClosesTheClientConnectionInTime() throws Exception {
         pieces = new byte[][] {Arrays.copyOf(longRow(MIB), 100_000), new byte[0]};
         nextPiece.release();
         long start = System.nanoTime();
@@ -368,37 +368,37 @@
 
     /** Guards against clients that connect and say nothing, or keep a connection they no longer use, filling the cap. */
     @Test
-    void silentAndRestingClientsMakeRoom() throws Exception {
+    void idleClientsMakeRoomForNewOnes() throws Exception {
         List<Socket> kept = new ArrayList<>();
         try {
             for (int i = 0; i < SOCKETS / 2; i++) {
                 kept.add(client());
                 send(kept.get(i), PoolerTest::startup);
-                assertEquals("hello ", types(kept.get(i), 1));
+                assertEquals("hello ", readTypes(kept.get(i), 1));
             }
             send(kept.get(0), m -> m.put('Q').put(100)); // half a message keeps no place either
             send(kept.get(1), m -> query(m, "SELECT 1")); // nor does one that cannot be answered
-            assertEquals("E42601Z", types(kept.get(1), 1));
+            assertEquals("E42601Z", readTypes(kept.get(1), 1));
             assertEquals("hello IZ", ask(""), "the longest silent made room");
-            assertEquals("|", types(kept.get(0), 1));
+            assertEquals("|", readTypes(kept.get(0), 1));
             assertEquals("hello IZ", ask(""), "there is room for one");
             Socket late = client();
             send(late, PoolerTest::startup);
-            assertEquals("hello ", types(late, 1));
+            assertEquals("hello ", readTypes(late, 1));
             kept.add(late);
             assertEquals("hello IZ", ask(""), "the next longest made room");
-            assertEquals("|", types(kept.get(1), 1));
+            assertEquals("|", readTypes(kept.get(1), 1));
             kept.subList(0, 2).clear();
             for (Socket asks : kept) {
                 send(asks, m -> query(m, ""));
-                assertEquals("IZ", types(asks, 1));
+                assertEquals("IZ", readTypes(asks, 1));
             }
             Thread.sleep(300);
-            assertEquals("|", types(kept.get(0), 1), "in a crowd the one that rested longest goes");
+            assertEquals("|", readTypes(kept.get(0), 1), "in a crowd the one that rested longest goes");
             assertEquals("hello IZ", ask(""));
             Socket last = kept.get(kept.size() - 1);
             send(last, m -> query(m, ""));
-            assertEquals("IZ", types(last, 1), "half of them may rest");
+            assertEquals("IZ", readTypes(last, 1), "half of them may rest");
         } finally {
             for (Socket socket : kept) {
                 socket.close();
@@ -408,7 +408,7 @@
 
     /** Who hangs in a startup or a message is owed an end within 3 s; what it had asked before is answered first. */
     @Test
-    void halfAMessageIsNotWaitedForLong() throws IOException {
+    void anIncompleteMessageTimesOut() throws IOException {
         try (Socket mute = client(); Socket half = client()) {
             send(half, m -> {
                 startup(m);
@@ -416,18 +416,18 @@
                 m.put('Q').put(100);
             });
             long start = System.nanoTime();
-            assertEquals("E57014|", types(mute, 1));
-            assertEquals("hello IZE57014|", types(half, 3));
+            assertEquals("E57014|", readTypes(mute, 1));
+            assertEquals("hello IZE57014|", readTypes(half, 3));
             assertTrue(System.nanoTime() - start < 2_800_000_000L);
         }
     }
 
     /** A fault in what follows must not cut off the answer to what was taken before. */
     @Test
-    void whatWasTakenIsAnsweredBeforeAnErrorBehindIt() throws Exception {
-        Consumer<Message> answer = script;
-        script = m -> {
-            pause(200);
+    void queuedQueriesAreAnsweredBeforeALaterProtocolError() throws Exception {
+        Consumer<MessageBuilder> answer = answerScript;
+        answerScript = m -> {
+            sleep(200);
             answer.accept(m);
         };
         try (Socket client = client()) {
@@ -436,27 +436,27 @@
                 query(m, WRITE);
                 m.put('Q').put(-5);
             });
-            assertEquals("hello TDCZE08P01|", types(client, 3));
+            assertEquals("hello TDCZE08P01|", readTypes(client, 3));
         }
     }
 
     /** Hundreds of commands at once: each has its one answer, most a refusal, and the connection stays: a close lost some. */
     @Test
-    void aFloodOfCommandsIsTurnedAway() throws IOException {
-        Consumer<Message> answer = script;
-        script = m -> {
-            pause(300);
+    void aFloodOfCommandsIsRefused() throws IOException {
+        Consumer<MessageBuilder> answer = answerScript;
+        answerScript = m -> {
+            sleep(300);
             answer.accept(m);
         };
         try (Socket client = client()) {
             send(client, PoolerTest::startup);
-            assertEquals("hello ", types(client, 1));
-            Message message = new Message(new byte[100_000]);
+            assertEquals("hello ", readTypes(client, 1));
+            MessageBuilder message = new MessageBuilder(new byte[100_000]);
             for (int i = 0; i < 300; i++) {
                 query(message, WRITE);
             }
             message.writeTo(client.getOutputStream());
-            String types = types(client, 300);
+            String types = readTypes(client, 300);
             assertTrue(types.matches("(TDCZ|E53300Z){300}"), types);
             assertTrue(types.contains("E53300Z".repeat(30)), "most are turned away at once");
         }
@@ -465,21 +465,21 @@
     @Test
     void countersAreShownOnRequest() throws IOException {
         String types = ask("show stats;");
-        assertEquals("hello T" + "D".repeat(counters.all().size()) + "CZ", types);
+        assertEquals("hello T" + "D".repeat(counters.snapshot().size()) + "CZ", types);
     }
 
     /** A connection that breaks after the last byte may have run its write: failed, never sent again. */
     @Test
-    void aWriteCutAfterItsLastByteFails() throws IOException {
-        script = null;
+    void aWriteCutOffAfterItsLastByteIsNotRetried() throws IOException {
+        answerScript = null;
         assertEquals("hello E08007Z", ask(WRITE));
         assertEquals(1, queries.size());
     }
 
     @Test
-    void aServerThatIsFullLeavesTheWriteToBeTriedAgain() throws IOException {
-        script = m -> {
-            script = ok -> AnswerTest.row(ok, "v").readyForQuery();
+    void aWriteRefusedByAFullServerIsRetried() throws IOException {
+        answerScript = m -> {
+            answerScript = ok -> AnswerTest.result(ok, "v").readyForQuery();
             m.error(false, SqlState.TOO_MANY_CONNECTIONS, "full", null).readyForQuery();
         };
         assertEquals("hello TDCZ", ask(WRITE));
@@ -488,27 +488,27 @@
 
     /** While the program ends, reads are still served on the connections there are; a write that may need longer is not. */
     @Test
-    void nothingIsTakenThatTheEndWouldCutOff() throws IOException {
-        front.endAfter(2_000 * Clock.MS);
+    void requestsThatOutlastTheShutdownAreRefused() throws IOException {
+        front.announceShutdown(2_000 * Clock.MS);
         assertEquals("hello TDCZ", ask(WRITE.replace("d=3000", "d=1000")));
         try (Socket client = client()) {
             send(client, m -> {
                 startup(m);
                 query(m, WRITE);
             });
-            assertEquals("hello E57P03Z|", types(client, 3), "its client is sent elsewhere");
+            assertEquals("hello E57P03Z|", readTypes(client, 3), "its client is sent elsewhere");
         }
         assertEquals(1, queries.size());
     }
 
     /** What was decided is asked again once the connection is up: on the way there a server may begin to drain. */
     @Test
-    void nothingIsWrittenThatNoLongerHolds() throws IOException {
+    void aDecisionIsCheckedAgainBeforeTheQueryIsWritten() throws IOException {
         String drains = "{\"seq\":42,\"whole\":false,\"hosts\":[{\"host\":\"s-1\",\"dial\":\"127.0.0.1:"
                 + server.getLocalPort() + "\",\"block\":2,\"health\":\"draining\"}]}";
-        greeting = () -> {
+        beforeGreeting = () -> {
             while (counters.get(Counter.ATTEMPTS) == 0) {
-                pause(1); // a probe's connection may come first
+                sleep(1); // a probe's connection may come first
             }
             balancer.listChanged(HostList.decode(drains), false);
         };
@@ -519,71 +519,71 @@
 
     /** Guards against a drain that cuts off what was taken, and one that leaves idle clients in place. */
     @Test
-    void aDrainAnswersWhatWasTaken() throws Exception {
+    void aDrainAnswersAcceptedQueries() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        script = m -> {
+        answerScript = m -> {
             asked.countDown();
             while (go.getCount() > 0) {
-                pause(5);
+                sleep(5);
             }
-            AnswerTest.row(m, "v").readyForQuery();
+            AnswerTest.result(m, "v").readyForQuery();
         };
         try (Socket idle = client(); Socket busy = client()) {
             send(idle, PoolerTest::startup);
-            assertEquals("hello ", types(idle, 1));
+            assertEquals("hello ", readTypes(idle, 1));
             send(busy, m -> {
                 startup(m);
                 query(m, WRITE);
             });
             asked.await();
             front.closeWhenIdle();
-            assertEquals("|", types(idle, 1));
+            assertEquals("|", readTypes(idle, 1));
             go.countDown();
-            assertEquals("hello TDCZ|", types(busy, 3));
+            assertEquals("hello TDCZ|", readTypes(busy, 3));
         }
         assertFalse(queries.isEmpty());
     }
 
     /** Sent away, clients find readiness denied, and no connection rests here; going back to work undoes all of it. */
     @Test
-    void clientsAreSentAwayAndTakenInAgain() throws Exception {
+    void evacuationClosesClientsAndCanBeUndone() throws Exception {
         try (Socket idle = client(); Socket busy = client(); Socket kept = client()) {
             for (Socket client : List.of(idle, busy, kept)) {
                 send(client, m -> {
                     startup(m);
                     query(m, "");
                 });
-                assertEquals("hello IZ", types(client, 2));
+                assertEquals("hello IZ", readTypes(client, 2));
             }
-            front.sendAway(true);
+            front.setEvacuating(true);
             assertEquals("hello E57P03Z", ask(""), "at once");
-            front.sendAway(false);
+            front.setEvacuating(false);
             assertEquals("hello IZ", ask(""));
             Thread.sleep(600);
             send(kept, m -> query(m, ""));
-            assertEquals("IZ", types(kept, 1), "nobody was sent away meanwhile");
-            Consumer<Message> answer = script;
-            script = m -> {
-                pause(900);
+            assertEquals("IZ", readTypes(kept, 1), "nobody was sent away meanwhile");
+            Consumer<MessageBuilder> answer = answerScript;
+            answerScript = m -> {
+                sleep(900);
                 answer.accept(m);
             };
             send(busy, m -> query(m, WRITE));
-            front.sendAway(true);
-            assertEquals("|", types(idle, 1));
-            assertEquals("TDCZ|", types(busy, 2), "what was taken is answered first");
+            front.setEvacuating(true);
+            assertEquals("|", readTypes(idle, 1));
+            assertEquals("TDCZ|", readTypes(busy, 2), "what was taken is answered first");
         }
     }
 
     /** Another process takes over: the address serves two, who had connected is heard, and each answer ends its connection. */
     @Test
-    void anotherProcessTakesOverWithoutTurningAnyoneAway() throws Exception {
+    void aTakeoverRefusesNoClient() throws Exception {
         try (Socket kept = client(); ServerSocket newer = new ServerSocket()) {
             send(kept, m -> {
                 startup(m);
                 query(m, "");
             });
-            assertEquals("hello IZ", types(kept, 2));
+            assertEquals("hello IZ", readTypes(kept, 2));
             Thread.sleep(200); // it rests, long after its answer
             front.handOver();
             List<Socket> late = new ArrayList<>();
@@ -599,11 +599,11 @@
             newer.bind(config.listen());
             front.stopAccepting();
             for (Socket socket : late) {
-                assertEquals("hello IZ|", types(socket, 3), "taken in before the listener closed");
+                assertEquals("hello IZ|", readTypes(socket, 3), "taken in before the listener closed");
                 socket.close();
             }
             send(kept, m -> query(m, ""));
-            assertEquals("IZ|", types(kept, 2), "the connection stayed until its next answer");
+            assertEquals("IZ|", readTypes(kept, 2), "the connection stayed until its next answer");
             newer.setSoTimeout(5_000);
             try (Socket next = client()) {
                 newer.accept().close();
@@ -613,7 +613,7 @@
 
     /** In a crowd who asked once makes room; cutting off those who come back cost a new connection for each request. */
     @Test
-    void whoComesBackIsSparedInACrowd() throws Exception {
+    void returningClientsAreKeptLongerWhenCrowded() throws Exception {
         List<Socket> kept = new ArrayList<>();
         try {
             for (int i = 0; i < SOCKETS / 4 + 1; i++) {
@@ -623,15 +623,15 @@
                     startup(m);
                     query(m, "");
                 });
-                assertEquals("hello IZ", types(client, 2));
+                assertEquals("hello IZ", readTypes(client, 2));
                 if (i == 0) {
                     send(client, m -> query(m, ""));
-                    assertEquals("IZ", types(client, 1));
+                    assertEquals("IZ", readTypes(client, 1));
                 }
             }
-            assertEquals("|", types(kept.get(1), 1), "the oldest of those who asked once");
+            assertEquals("|", readTypes(kept.get(1), 1), "the oldest of those who asked once");
             send(kept.get(0), m -> query(m, ""));
-            assertEquals("IZ", types(kept.get(0), 1));
+            assertEquals("IZ", readTypes(kept.get(0), 1));
         } finally {
             for (Socket socket : kept) {
                 socket.close();
@@ -640,10 +640,10 @@
     }
 
     /** How a client goes. */
-    private enum Going {
+    private enum Departure {
         CLOSES, RESETS, HALF_CLOSES, CANCELS;
 
-        void go(PoolerTest test, Socket client, byte[] key) throws IOException {
+        void apply(PoolerTest test, Socket client, byte[] key) throws IOException {
             switch (this) {
                 case CLOSES -> client.close();
                 case RESETS -> {
@@ -657,7 +657,7 @@
     }
 
     /** Reads the greeting; what a CancelRequest must name. */
-    private static byte[] greeted(Socket client) throws IOException {
+    private static byte[] readCancelKey(Socket client) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
         byte[] key = null;
         for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -675,11 +675,11 @@
         }
     }
 
-    private void awaitOneMore(Counter counter, long than) {
-        for (int i = 0; i < 300 && counters.get(counter) == than; i++) {
-            pause(10);
+    private void awaitIncrement(Counter counter, long before) {
+        for (int i = 0; i < 300 && counters.get(counter) == before; i++) {
+            sleep(10);
         }
-        assertEquals(than + 1, counters.get(counter), counter.toString());
+        assertEquals(before + 1, counters.get(counter), counter.toString());
     }
 
     /**
@@ -688,36 +688,36 @@
      */
     @ParameterizedTest
     @EnumSource
-    void nothingIsSentForAClientThatHasGone(Going going) throws Exception {
+    void noAttemptBeginsAfterItsClientHasGone(Departure departure) throws Exception {
         String large = WRITE.replace("\\x9f", "\\x" + "9f".repeat(30_000));
         // what waits behind is not cancelled
-        for (List<String> behind : going == Going.CANCELS ? List.of(List.<String>of())
+        for (List<String> behind : departure == Departure.CANCELS ? List.of(List.<String>of())
                 : List.of(List.<String>of(), Collections.nCopies(300, WRITE), Collections.nCopies(3, large))) {
             long left = counters.get(Counter.CLIENTS_LEFT);
             CountDownLatch asked = new CountDownLatch(1);
             CountDownLatch gone = new CountDownLatch(1);
-            script = m -> {
+            answerScript = m -> {
                 asked.countDown();
                 while (gone.getCount() > 0) {
-                    pause(5);
+                    sleep(5);
                 }
                 m.error(false, SqlState.TOO_MANY_CONNECTIONS, "full", null).readyForQuery();
             };
             queries.clear();
             try (Socket client = client()) {
                 send(client, PoolerTest::startup);
-                byte[] key = greeted(client);
+                byte[] key = readCancelKey(client);
                 send(client, m -> query(m, WRITE));
                 asked.await();
                 for (String more : behind) {
                     send(client, m -> query(m, more));
                 }
-                going.go(this, client, key);
-                awaitOneMore(Counter.CLIENTS_LEFT, left);
+                departure.apply(this, client, key);
+                awaitIncrement(Counter.CLIENTS_LEFT, left);
             } finally {
                 gone.countDown();
             }
-            pause(100);
+            sleep(100);
             assertEquals(1, queries.size(), "behind " + behind.size());
         }
     }
@@ -725,70 +725,70 @@
     /** Its connection comes up late: the request is not written any more. */
     @ParameterizedTest
     @EnumSource
-    void nothingIsWrittenOnAConnectionThatComesUpForAClientThatHasGone(Going going) throws Exception {
-        greeting = () -> {
+    void nothingIsWrittenOnceTheClientHasGoneDuringConnect(Departure departure) throws Exception {
+        beforeGreeting = () -> {
             for (int i = 0; i < 20 && counters.get(Counter.CLIENTS_LEFT) == 0; i++) {
-                pause(10);
+                sleep(10);
             }
         };
         try (Socket client = client()) {
             send(client, PoolerTest::startup);
-            byte[] key = greeted(client);
+            byte[] key = readCancelKey(client);
             send(client, m -> query(m, WRITE));
             while (counters.get(Counter.ATTEMPTS) == 0) {
-                pause(1);
+                sleep(1);
             }
-            going.go(this, client, key);
-            awaitOneMore(Counter.CLIENTS_LEFT, 0);
+            departure.apply(this, client, key);
+            awaitIncrement(Counter.CLIENTS_LEFT, 0);
         }
-        pause(100);
+        sleep(100);
         assertEquals(List.of(), queries);
     }
 
     /** PostgreSQL's CancelRequest: one error for the query that runs, and its connection lives on; a guess does nothing. */
     @Test
-    void aQueryIsCancelledByItsKeyAlone() throws Exception {
-        Consumer<Message> answer = script;
+    void onlyTheMatchingKeyCancelsAQuery() throws Exception {
+        Consumer<MessageBuilder> answer = answerScript;
         CountDownLatch asked = new CountDownLatch(1);
-        script = m -> {
+        answerScript = m -> {
             asked.countDown();
-            pause(2_000);
+            sleep(2_000);
             answer.accept(m);
         };
         try (Socket client = client(); Socket other = client()) {
             send(client, PoolerTest::startup);
-            byte[] key = greeted(client);
+            byte[] key = readCancelKey(client);
             send(other, PoolerTest::startup);
-            assertFalse(Arrays.equals(key, greeted(other)), "each has its own");
+            assertFalse(Arrays.equals(key, readCancelKey(other)), "each has its own");
             cancel(key); // nothing runs: no effect on what comes next
             send(client, m -> query(m, WRITE));
             asked.await();
             byte[] guess = key.clone();
             guess[7]++;
             cancel(guess);
-            pause(100);
+            sleep(100);
             assertEquals(0, counters.get(Counter.QUERIES_CANCELED));
-            script = answer;
+            answerScript = answer;
             cancel(key);
             cancel(key);
-            assertEquals("E57014Z", types(client, 1));
+            assertEquals("E57014Z", readTypes(client, 1));
             send(client, m -> query(m, WRITE));
-            assertEquals("TDCZ", types(client, 1));
+            assertEquals("TDCZ", readTypes(client, 1));
             assertEquals(1, counters.get(Counter.QUERIES_CANCELED));
             assertEquals(2, queries.size(), "never sent again");
         }
     }
 
     /** All that comes up to a close in good order: a reset takes with it what its peer has not read. */
-    private static String toTheEnd(Socket client) throws IOException {
+    private static String readToEnd(Socket client) throws IOException {
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     /** A close over unread bytes resets the connection, and the last answer goes with it: the input is read out first. */
     @Test
-    void theLastWordIsHeardWhateverWasSentBehindIt() throws Exception {
+    void theLastAnswerArrivesDespiteUnreadInput() throws Exception {
         byte[] noise = new byte[MIB];
-        for (Consumer<Message> wrong : List.<Consumer<Message>>of(m -> m.put('Q').put(1 << 30), m -> m.put('Q').put(-7),
+        for (Consumer<MessageBuilder> wrong : List.<Consumer<MessageBuilder>>of(m -> m.put('Q').put(1 << 30), m -> m.put('Q').put(-7),
                 m -> m.begin('P').put("extended").end(), m -> m.put('X').put(4))) {
             try (Socket client = client()) {
                 send(client, m -> {
@@ -797,12 +797,12 @@
                     wrong.accept(m);
                 });
                 client.getOutputStream().write(noise, 0, 100_000);
-                String told = toTheEnd(client);
+                String told = readToEnd(client);
                 assertTrue(told.contains("SELECT 1"), told);
             }
         }
         while (front.openClients() > 0) {
-            pause(1); // until those that have closed are seen to have: up to then they count for the cap
+            sleep(1); // until those that have closed are seen to have: up to then they count for the cap
         }
         List<Socket> all = new ArrayList<>();
         try {
@@ -812,16 +812,16 @@
                     startup(m);
                     query(m, "");
                 });
-                assertEquals("hello IZ", types(all.get(i), 2));
+                assertEquals("hello IZ", readTypes(all.get(i), 2));
                 send(all.get(i), m -> query(m, "")); // who comes back is no longer the first to go
-                assertEquals("IZ", types(all.get(i), 1));
+                assertEquals("IZ", readTypes(all.get(i), 1));
             }
             try (Socket late = client()) {
                 send(late, m -> {
                     startup(m);
                     query(m, WRITE);
                 });
-                assertTrue(toTheEnd(late).contains("53300"), "turned away with a word");
+                assertTrue(readToEnd(late).contains("53300"), "turned away with a word");
             }
         } finally {
             for (Socket socket : all) {
@@ -832,9 +832,9 @@
 
     /** What a client has still to take when its connection ends lies in the kernel, and a reset throws it away. */
     @Test
-    void anAnswerThatIsStillOnItsWayOutlivesTheClose() throws Exception {
+    void anAnswerInFlightSurvivesTheClose() throws Exception {
         String value = "v".repeat(30_000);
-        script = m -> AnswerTest.row(m, value).readyForQuery();
+        answerScript = m -> AnswerTest.result(m, value).readyForQuery();
         try (Socket client = new Socket()) {
             client.setReceiveBufferSize(4_096);
             client.connect(config.listen());
@@ -844,26 +844,26 @@
                 m.begin('P').put("extended").end();
             });
             client.getOutputStream().write(new byte[100_000]);
-            awaitOneMore(Counter.BAD_INPUT, 0);
-            pause(50); // the close is on its way
-            String told = toTheEnd(client);
+            awaitIncrement(Counter.BAD_INPUT, 0);
+            sleep(50); // the close is on its way
+            String told = readToEnd(client);
             assertTrue(told.contains(value) && told.contains("0A000"), told.length() + " bytes were told");
         }
     }
 
     /** A request that is read after the connection's end began must not be sent on: nobody could be told how it went. */
     @Test
-    void whatComesAfterTheEndIsNeverSentOn() throws Exception {
+    void inputAfterTheCloseIsNeverForwarded() throws Exception {
         try (Socket rests = client()) {
             send(rests, m -> {
                 startup(m);
                 query(m, "");
             });
-            assertEquals("hello IZ", types(rests, 2));
+            assertEquals("hello IZ", readTypes(rests, 2));
             front.closeWhenIdle();
             assertEquals(-1, rests.getInputStream().read(), "the end comes at once");
             send(rests, m -> query(m, WRITE));
-            awaitOneMore(Counter.CLIENTS_CLOSED, 0);
+            awaitIncrement(Counter.CLIENTS_CLOSED, 0);
             assertEquals(0, front.openClients());
             assertEquals(List.of(), queries);
         }
--- a/pooler/src/test/java/holdmux/pg/ServerConnectionTest.java
+++ b/pooler/src/test/java/holdmux/pg/ServerConnectionTest.java
@@ -6,7 +6,7 @@
 import holdmux.core.Clock;
 import holdmux.core.Deadlines;
 import holdmux.core.ServerStatus;
-import holdmux.statement.Buffers;
+import holdmux.statement.BufferPool;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,13 +25,13 @@
      * waits for another thread to close it (which on the fleet's days does not end it) and so answers its request late.
      */
     @Test
-    void aConnectToAServerThatTakesNothingEndsByItselfAtItsBound() throws IOException {
+    void connectToAnUnresponsiveServerTimesOutByItself() throws IOException {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         List<Socket> queued = new ArrayList<>();
         try (ServerSocket silent = new ServerSocket(0, 1, loopback)) {
             InetSocketAddress address = new InetSocketAddress(loopback, silent.getLocalPort());
             fillQueue(address, queued);
-            ServerConnection connection = new ServerConnection(1, address, new Buffers(4 * Buffers.SIZE, Buffers.SIZE, () -> false));
+            ServerConnection connection = new ServerConnection(1, address, new BufferPool(4 * BufferPool.BUFFER_SIZE, BufferPool.BUFFER_SIZE, () -> false));
             try (connection) {
                 // no other thread and no deadline: only the bound given to connect can end it
                 assertTimeoutPreemptively(Duration.ofSeconds(20),
@@ -49,20 +49,20 @@
      * ever, and the thread spun until its attempt was cut.
      */
     @Test
-    void anAnswerWithoutEndIsSpoiltOnceTheBufferIsFull() throws IOException {
+    void anEndlessAnswerFailsOnceTheBufferIsFull() throws IOException {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
-        byte[] notices = new byte[Buffers.SIZE];
+        byte[] notices = new byte[BufferPool.BUFFER_SIZE];
         for (int i = 0; i < notices.length; i++) {
             notices[i] = (byte) (i % 7 == 0 ? 'N' : i % 7 == 4 ? 6 : 0); // a head of five bytes and two of content
         }
         try (ServerSocket server = new ServerSocket(0, 1, loopback);
                 ServerConnection connection = new ServerConnection(1,
-                        new InetSocketAddress(loopback, server.getLocalPort()), new Buffers(4 * Buffers.SIZE, Buffers.SIZE, () -> false))) {
+                        new InetSocketAddress(loopback, server.getLocalPort()), new BufferPool(4 * BufferPool.BUFFER_SIZE, BufferPool.BUFFER_SIZE, () -> false))) {
             connection.connect(5_000 * Clock.MS);
             try (Socket socket = server.accept()) {
                 socket.getOutputStream().write(notices);
                 assertTimeoutPreemptively(Duration.ofSeconds(20), () -> assertThrows(ProtocolException.class,
-                        () -> connection.receive(new ServerStatus.Form(List.of(), 0), new Deadlines(new Clock()))));
+                        () -> connection.receive(new ServerStatus.ReportFormat(List.of(), 0), new Deadlines(new Clock()))));
             }
         }
     }
--- a/pooler/src/test/java/holdmux/simhost/WireTest.java
+++ b/pooler/src/test/java/holdmux/simhost/WireTest.java
@@ -19,23 +19,23 @@
 
 /** The frames that the wire's page prints, both ways, and frames that are not what they should be. */
 class WireTest {
-    private static final class Collected implements WireReader.Sink {
-        final List<String> seen = new ArrayList<>();
+    private static final class RecordingSink implements WireReader.Sink {
+        final List<String> calls = new ArrayList<>();
         final List<Event> events = new ArrayList<>();
 
         @Override
         public void spawn(int instance, long seed, String config) {
-            seen.add("spawn " + instance + " " + seed + " " + config);
+            calls.add("spawn " + instance + " " + seed + " " + config);
         }
 
         @Override
         public void killed(int instance) {
-            seen.add("killed " + instance);
+            calls.add("killed " + instance);
         }
 
         @Override
         public void event(int instance, Event event) {
-            seen.add("event " + instance);
+            calls.add("event " + instance);
             events.add(event);
         }
 
@@ -55,18 +55,18 @@
                 + HexFormat.of().formatHex(bytes));
     }
 
-    private static Collected read(byte[] frame) throws IOException {
+    private static RecordingSink decode(byte[] frame) throws IOException {
         WireReader reader = new WireReader(new ByteArrayInputStream(frame));
-        assertTrue(reader.next());
-        assertEquals(0x1f568bf90L, reader.clock());
-        Collected found = new Collected();
-        reader.decode(found);
-        return found;
+        assertTrue(reader.readBatch());
+        assertEquals(0x1f568bf90L, reader.batchTimeNs());
+        RecordingSink sink = new RecordingSink();
+        reader.decode(sink);
+        return sink;
     }
 
-    private static String written(int instance, Action... actions) throws IOException {
+    private static String encode(int instance, Action... actions) throws IOException {
         WireWriter writer = new WireWriter();
-        writer.begin();
+        writer.beginReply();
         for (Action action : actions) {
             writer.write(instance, action);
         }
@@ -77,45 +77,45 @@
 
     private static String run(byte[] input, int exit) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int got = SimHost.run(new ByteArrayInputStream(input), new ByteArrayOutputStream(), new PrintStream(err));
-        assertEquals(exit, got);
+        int status = SimHost.run(new ByteArrayInputStream(input), new ByteArrayOutputStream(), new PrintStream(err));
+        assertEquals(exit, status);
         return err.toString(StandardCharsets.UTF_8);
     }
 
-    private static void fails(byte[] input, String words) {
-        String said = run(input, 1);
-        assertEquals(1, said.lines().count(), said);
-        assertTrue(said.contains(words), said);
+    private static void assertFails(byte[] input, String expected) {
+        String output = run(input, 1);
+        assertEquals(1, output.lines().count(), output);
+        assertTrue(output.contains(expected), output);
     }
 
     @Test
-    void theEmptyBatchHasTheEmptyReply() throws IOException {
-        assertTrue(read(hex("00000001f568bf90 00000010 00000000")).seen.isEmpty());
-        assertEquals("0000000000000008", written(0));
+    void emptyBatch() throws IOException {
+        assertTrue(decode(hex("00000001f568bf90 00000010 00000000")).calls.isEmpty());
+        assertEquals("0000000000000008", encode(0));
     }
 
     @Test
-    void eventsOfThePage() throws IOException {
-        Collected found = read(batch(3, """
+    void decodesSpecExampleEvents() throws IOException {
+        RecordingSink sink = decode(batch(3, """
                 03f2 00000003 000585545d3a91c4 00 01 000000000e4e1c00 43ce4000 0000000000b71b00
                 91f03b7c55d20a64 0000 41300000
                 03fc 00000003 0000004d
                 0424 00000005 000ab2690e6f2b19"""));
-        assertEquals(List.of("event 3", "event 3", "event 5"), found.seen);
-        Arrived a = (Arrived) found.events.get(0);
+        assertEquals(List.of("event 3", "event 3", "event 5"), sink.calls);
+        Arrived a = (Arrived) sink.events.get(0);
         assertEquals(0x000585545d3a91c4L, a.id());
         assertEquals(240_000_000L, a.remainingNs());
         assertTrue(a.tokenAgeNs() < 412_500_000L && a.tokenAgeNs() > 412_499_000L, "rounded down: " + a.tokenAgeNs());
         assertEquals(12_000_000L, a.effortNs());
         assertEquals(0x91f03b7c55d20a64L, a.session());
         assertEquals(11, a.group());
-        assertEquals(new Wakeup(77), found.events.get(1));
-        assertEquals(new ClientLeft(0x000ab2690e6f2b19L), found.events.get(2));
+        assertEquals(new Wakeup(77), sink.events.get(1));
+        assertEquals(new ClientLeft(0x000ab2690e6f2b19L), sink.events.get(2));
     }
 
     @Test
-    void theVerdictOfThePage() throws IOException {
-        Answered v = (Answered) read(batch(1,
+    void decodesSpecExampleAnswer() throws IOException {
+        Answered v = (Answered) decode(batch(1,
                 "0406 00000003 000585545d3a91c4 0a124a07 138b 01 01 00000000011a49a0 0000638e 00 00")).events.get(0);
         assertEquals(0x0a124a07138bL, v.store());
         assertTrue(v.isFinal());
@@ -126,50 +126,50 @@
     }
 
     @Test
-    void theListOfThePageAndANumberUsedAgainInOneBatch() throws IOException {
+    void decodesServerListsAndReusedListNumbers() throws IOException {
         String targets = "044c 00000003 00000029 00 00";
-        Collected found = read(batch(4, """
+        RecordingSink sink = decode(batch(4, """
                 041a 00 00000002
                 3f800000 00 01 000b 0a124a07 138b 00 0000000000000000 3f800000
                 00000000 00 01 000b 0a9011f2 13b4 00 000000016b969d00 3fc00000
                 """ + targets + "041a 00 00000000" + targets));
-        ListChanged list = (ListChanged) found.events.get(0);
+        ListChanged list = (ListChanged) sink.events.get(0);
         assertEquals(ListMode.CACHED, list.mode());
         assertEquals(41, list.generation());
         assertEquals(new Listing(0x0a124a07138bL, 11, 0, 0, Availability.READY, true, 0, 1f), list.lines().get(0));
         assertEquals(0x16b969d00L, list.lines().get(1).startedAt());
-        assertTrue(((ListChanged) found.events.get(1)).lines().isEmpty());
+        assertTrue(((ListChanged) sink.events.get(1)).lines().isEmpty());
     }
 
     @Test
-    void theOtherEvents() throws IOException {
-        Collected found = read(batch(5, """
+    void decodesOtherEvents() throws IOException {
+        RecordingSink sink = decode(batch(5, """
                 0438 00000001 0a124a07 138b 01 0000000000000005 02 3f800000 40000000
                 0442 00000001 0000000000000009 02 0a124a07 138b 0000000000000007
                 03e8 00000001 00000004 0002 6869
                 042e 00000002
                 0410 00000002 0000000000000008 00000003 613d62"""));
-        Checked checked = (Checked) found.events.get(0);
+        Checked checked = (Checked) sink.events.get(0);
         assertEquals(2f, checked.report()[1]);
-        assertEquals(new Started(9, 0x0a124a07138bL, 2), found.events.get(1));
-        assertEquals(4, ((PeerMessage) found.events.get(2)).from());
-        assertEquals("killed 2", found.seen.get(3));
-        assertEquals("spawn 2 8 a=b", found.seen.get(4));
+        assertEquals(new Started(9, 0x0a124a07138bL, 2), sink.events.get(1));
+        assertEquals(4, ((PeerMessage) sink.events.get(2)).from());
+        assertEquals("killed 2", sink.calls.get(3));
+        assertEquals("spawn 2 8 a=b", sink.calls.get(4));
     }
 
     @Test
-    void actionsOfThePage() throws IOException {
+    void encodesSpecExampleActions() throws IOException {
         assertEquals("000000030000004f"
                 + "03e800000003000585545d3a91c40a124a07138b0000000004c4b400"
                 + "041000000003000000001dcd65000000004d"
-                + "043800000005001174776f2073657276657273206b6e6f776e", reply());
+                + "043800000005001174776f2073657276657273206b6e6f776e", encodeExampleReply());
         assertEquals("042e00000003ffff000468692037",
-                written(3, new MemoTo(0xffff, "hi 7".getBytes(StandardCharsets.UTF_8))).substring(16));
+                encode(3, new MemoTo(0xffff, "hi 7".getBytes(StandardCharsets.UTF_8))).substring(16));
     }
 
-    private static String reply() throws IOException {
+    private static String encodeExampleReply() throws IOException {
         WireWriter writer = new WireWriter();
-        writer.begin();
+        writer.beginReply();
         writer.write(3, new Transmit(0x000585545d3a91c4L, 0x0a124a07138bL, 80_000_000L));
         writer.write(3, new Schedule(500_000_000L, 77));
         writer.write(5, new Remark("two servers known"));
@@ -179,30 +179,30 @@
     }
 
     @Test
-    void theOtherActions() throws IOException {
-        Map<String, Action> forms = new TreeMap<>(Map.of("040600000001000000000000000902", new Retract(9, 2),
+    void encodesOtherActions() throws IOException {
+        Map<String, Action> encodings = new TreeMap<>(Map.of("040600000001000000000000000902", new Retract(9, 2),
                 "03f20000000100000000000000090000000000000005", new Decline(9, 5, EndReason.NO_SERVER),
                 "03fc000000010000000000000009", new RespondError(9, EndReason.NO_SERVER),
                 "041a000000010a124a07138b", new Inspect(0x0a124a07138bL),
                 "0424000000010a124a07138b", new CloseIdle(0x0a124a07138bL),
                 "044c0000000101", new Subscribe(true), "045600000001", new ListAll()));
-        for (Map.Entry<String, Action> form : forms.entrySet()) {
-            assertEquals(form.getKey(), written(1, form.getValue()).substring(16));
+        for (Map.Entry<String, Action> encoding : encodings.entrySet()) {
+            assertEquals(encoding.getKey(), encode(1, encoding.getValue()).substring(16));
         }
     }
 
     @Test
-    void badInputEndsWithOnePlainLine() {
-        fails(hex("00000001f568"), "inside a batch header");
-        fails(hex("00000001f568bf90 00000020 00000001"), "inside a batch");
-        fails(batch(1, "0001 00000001"), "unknown event code 1");
-        fails(batch(1, "03fc 00000003"), "past the end");
-        fails(batch(1, "03fc 00000003 0000004d 00"), "1 bytes are left");
-        fails(batch(1, "0406 00000003 000585545d3a91c4 0a124a07 138b 01 0a 0000000000000000 00000000 00 00"),
+    void badInputFailsWithOneLine() {
+        assertFails(hex("00000001f568"), "inside a batch header");
+        assertFails(hex("00000001f568bf90 00000020 00000001"), "inside a batch");
+        assertFails(batch(1, "0001 00000001"), "unknown event code 1");
+        assertFails(batch(1, "03fc 00000003"), "past the end");
+        assertFails(batch(1, "03fc 00000003 0000004d 00"), "1 bytes are left");
+        assertFails(batch(1, "0406 00000003 000585545d3a91c4 0a124a07 138b 01 0a 0000000000000000 00000000 00 00"),
                 "unknown outcome 10");
-        fails(spawn("me=0"), "is missing");
-        fails(spawn(CONFIG.replace("balancers=2", "balancers=0")), "balancers is 0");
-        fails(spawn(CONFIG.replace("guards=refuse", "guards=maybe")), "unknown value maybe");
+        assertFails(spawn("me=0"), "is missing");
+        assertFails(spawn(CONFIG.replace("balancers=2", "balancers=0")), "balancers is 0");
+        assertFails(spawn(CONFIG.replace("guards=refuse", "guards=maybe")), "unknown value maybe");
     }
 
     private static final String CONFIG = """
@@ -235,25 +235,25 @@
     }
 
     @Test
-    void optionalSettingsMayBeAbsent() {
+    void optionalSettingsMayBeOmitted() {
         assertEquals("", run(spawn(CONFIG), 0));
     }
 
     /** Instances act as they do alone, however their events are mixed in the batches. */
     @Test
-    void instancesShareNothing() throws IOException {
-        assertEquals(hosted(true, 1), hosted(false, 1));
-        assertEquals(hosted(true, 2), hosted(false, 2));
+    void instancesAreIsolated() throws IOException {
+        assertEquals(repliesFor(true, 1), repliesFor(false, 1));
+        assertEquals(repliesFor(true, 2), repliesFor(false, 2));
     }
 
-    private static String hosted(boolean both, int keep) {
+    private static String repliesFor(boolean both, int kept) {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         byte[] text = CONFIG.getBytes(StandardCharsets.UTF_8);
         for (int round = 0; round < 50; round++) {
             StringBuilder body = new StringBuilder();
             int records = 0;
             for (int i = 1; i <= 2; i++) {
-                if (both || i == keep) {
+                if (both || i == kept) {
                     records++;
                     body.append(round == 0
                             ? String.format("0410 %08x %016x %08x ", i, i, text.length)
@@ -267,7 +267,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         assertEquals(0, SimHost.run(new ByteArrayInputStream(in.toByteArray()), out, System.err));
         String hex = HexFormat.of().formatHex(out.toByteArray());
-        String id = String.format("%08x", keep);
+        String id = String.format("%08x", kept);
         List<String> mine = new ArrayList<>();
         for (String code : List.of("0410", "044c", "03f2")) {
             for (int at = hex.indexOf(code + id); at >= 0; at = hex.indexOf(code + id, at + 1)) {
--- a/pooler/src/test/java/holdmux/statement/StatementTest.java
+++ b/pooler/src/test/java/holdmux/statement/StatementTest.java
@@ -26,10 +26,10 @@
     }
 
     private static Statement parse(byte[] text) throws StatementException {
-        return Statement.parse(Text.of(Arrays.copyOf(text, text.length + 9), text.length)); // a buffer is longer than its text
+        return Statement.parse(ChunkedText.of(Arrays.copyOf(text, text.length + 9), text.length)); // a buffer is longer than its text
     }
 
-    private static String sent(Statement statement, long limitMs) {
+    private static String textSent(Statement statement, long limitMs) {
         List<ByteBuffer> parts = statement.text(limitMs);
         ByteBuffer bytes = ByteBuffer.allocate(parts.stream().mapToInt(ByteBuffer::remaining).sum());
         parts.forEach(bytes::put);
@@ -37,13 +37,13 @@
     }
 
     @Test
-    void readsTheFiguresOfARequest() throws StatementException {
+    void parsesRequestValues() throws StatementException {
         Statement read = parse(READ);
         assertFalse(read.write);
         assertEquals("basket", read.className);
-        assertEquals(480, read.waitMs);
+        assertEquals(480, read.timeoutMs);
         assertEquals(2, read.group);
-        assertEquals(1767225600123L, read.afterMs);
+        assertEquals(1767225600123L, read.positionMs);
         Statement write = parse(WRITE);
         assertTrue(write.write);
         assertEquals(read.session(), write.session(), "one key is one session, read or written");
@@ -52,14 +52,14 @@
 
     /** Servers void a statement that no client sent: only d may change on the way. */
     @Test
-    void onlyTheWaitChangesOnTheWay() throws StatementException {
-        assertEquals(WRITE.replace("d=4800", "d=77"), sent(parse(WRITE), 77));
+    void onlyTheTimeoutIsRewritten() throws StatementException {
+        assertEquals(WRITE.replace("d=4800", "d=77"), textSent(parse(WRITE), 77));
         String spaced = READ.replace("d=480,", " d = 480 ,").replace("7f3a", "d=480''ü/*");
-        assertEquals(spaced.replace("d = 480", "d = 3"), sent(parse(spaced), 3));
+        assertEquals(spaced.replace("d = 480", "d = 3"), textSent(parse(spaced), 3));
     }
 
     @Test
-    void refusesWhatIsNotInTheForm() {
+    void rejectsMalformedStatements() {
         assertRejected(SqlState.SYNTAX_ERROR, "DROP TABLE facts");
         assertRejected(SqlState.SYNTAX_ERROR, READ.replace(" */", ""));
         assertRejected(SqlState.SYNTAX_ERROR, READ + "; " + READ);
@@ -74,9 +74,9 @@
     }
 
     @Test
-    void takesTheLargestValue() throws StatementException {
+    void acceptsLargeValues() throws StatementException {
         String largest = WRITE.replace("9f03", "ab".repeat(64 * 1024));
-        assertEquals(largest.replace("d=4800", "d=4000"), sent(parse(largest), 4000));
+        assertEquals(largest.replace("d=4800", "d=4000"), textSent(parse(largest), 4000));
     }
 
     private static void assertRejected(String sqlState, String text) {
@@ -85,7 +85,7 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void noCutOfAStatementPasses(@ForAll boolean write, @ForAll @IntRange(max = 200) int at) {
+    void truncatedStatementsAreRejected(@ForAll boolean write, @ForAll @IntRange(max = 200) int at) {
         byte[] text = (write ? WRITE : READ).getBytes(StandardCharsets.UTF_8);
         byte[] cut = Arrays.copyOf(text, Math.min(at, text.length - 1));
         assertThrows(StatementException.class, () -> parse(cut));
@@ -93,12 +93,12 @@
 
     /** Garbage may be refused but must not throw anything else. */
     @Property(tries = 500, seed = "12")
-    void garbageIsRefusedInOrder(@ForAll byte[] garbage, @ForAll @IntRange(max = 100) int at) {
+    void garbageThrowsOnlyStatementException(@ForAll byte[] garbage, @ForAll @IntRange(max = 100) int at) {
         byte[] text = READ.getBytes(StandardCharsets.UTF_8);
         System.arraycopy(garbage, 0, text, at, Math.min(garbage.length, text.length - at));
         for (byte[] input : new byte[][] {garbage, text}) {
             try {
-                assertTrue(parse(input).waitMs > 0);
+                assertTrue(parse(input).timeoutMs > 0);
             } catch (StatementException e) {
                 assertEquals(5, e.sqlState.length());
             }
--- a/pooler/src/test/java/holdmux/upgrade/UpgradeTest.java
+++ b/pooler/src/test/java/holdmux/upgrade/UpgradeTest.java
@@ -9,9 +9,9 @@
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
 import holdmux.core.Deadlines;
-import holdmux.core.Shared;
+import holdmux.core.OtherProcess;
 import holdmux.core.Workers;
-import holdmux.decision.SplitterApi.Written;
+import holdmux.decision.SplitterApi.LastWrite;
 import holdmux.upgrade.Link.Frame;
 import holdmux.upgrade.Link.Kind;
 import java.io.IOException;
@@ -36,79 +36,79 @@
 @Timeout(20)
 class UpgradeTest {
     /** One process of the two, as far as the link is concerned. */
-    private static final class Side {
-        final List<Written> heard = Collections.synchronizedList(new ArrayList<>());
-        final AtomicInteger refreshed = new AtomicInteger();
-        final Shared shared = new Shared();
+    private static final class TestProcess {
+        final List<LastWrite> receivedWrites = Collections.synchronizedList(new ArrayList<>());
+        final AtomicInteger orderRefreshes = new AtomicInteger();
+        final OtherProcess shared = new OtherProcess();
         final Counters counters = new Counters();
         final Upgrade upgrade;
 
-        Side(Path folder, int clients, Written... known) {
+        TestProcess(Path directory, int clients, LastWrite... existingWrites) {
             Deadlines deadlines = new Deadlines(new Clock());
-            Workers.thread("deadlines", deadlines::run).start();
-            upgrade = new Upgrade(folder, new Upgrade.Local(() -> List.of(known), heard::add,
-                    refreshed::incrementAndGet, () -> clients, () -> 2 * clients), shared, deadlines, counters);
+            Workers.newThread("deadlines", deadlines::run).start();
+            upgrade = new Upgrade(directory, new Upgrade.LocalState(() -> List.of(existingWrites), receivedWrites::add,
+                    orderRefreshes::incrementAndGet, () -> clients, () -> 2 * clients), shared, deadlines, counters);
         }
     }
 
-    private static void await(java.util.function.BooleanSupplier what) throws InterruptedException {
-        while (!what.getAsBoolean()) {
+    private static void waitUntil(java.util.function.BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(5);
         }
     }
 
-    private static Side[] pair(Path folder, Written... known) throws InterruptedException {
-        Side older = new Side(folder, 7, known);
+    private static TestProcess[] startPair(Path directory, LastWrite... existingWrites) throws InterruptedException {
+        TestProcess older = new TestProcess(directory, 7, existingWrites);
         assertFalse(older.upgrade.join(), "nobody was there before it");
-        Side newer = new Side(folder, 3);
-        await(() -> Files.exists(folder.resolve("holdmux.sock")));
+        TestProcess newer = new TestProcess(directory, 3);
+        waitUntil(() -> Files.exists(directory.resolve("holdmux.sock")));
         assertTrue(newer.upgrade.join());
-        newer.upgrade.awaitTold();
-        return new Side[] {older, newer};
+        newer.upgrade.awaitSynced();
+        return new TestProcess[] {older, newer};
     }
 
     /** A read through one process after a write through the other must not be stale: the write is known before its answer. */
     @Test
-    void theOtherProcessKnowsOfAWriteBeforeItsClient(@TempDir Path folder) throws Exception {
-        Written before = new Written(1, 5, 100);
-        Side[] sides = pair(folder, before);
-        assertEquals(List.of(before), sides[1].heard, "what was written before it came");
+    void peerKnowsAWriteBeforeItsClientIsAnswered(@TempDir Path directory) throws Exception {
+        LastWrite before = new LastWrite(1, 5, 100);
+        TestProcess[] processes = startPair(directory, before);
+        assertEquals(List.of(before), processes[1].receivedWrites, "what was written before it came");
         for (int i = 0; i < 200; i++) {
-            Written write = new Written(1, i, 200 + i);
-            sides[i % 2].upgrade.written(write);
-            assertTrue(sides[1 - i % 2].heard.contains(write));
+            LastWrite write = new LastWrite(1, i, 200 + i);
+            processes[i % 2].upgrade.onWrite(write);
+            assertTrue(processes[1 - i % 2].receivedWrites.contains(write));
         }
-        assertEquals(0, sides[0].counters.get(Counter.UPGRADE_WORDS_MISSED));
+        assertEquals(0, processes[0].counters.get(Counter.UPGRADE_WORDS_MISSED));
     }
 
     /** Orders bind both, caps hold for both together, and all of it ends with the other process. */
     @Test
-    void ordersAndCapsHoldForBoth(@TempDir Path folder) throws Exception {
-        Side[] sides = pair(folder);
-        sides[1].upgrade.ordersChanged();
-        assertEquals(1, sides[0].refreshed.get());
-        await(() -> sides[0].shared.clients() == 3 && sides[0].shared.servers() == 6 && sides[1].shared.clients() == 7);
-        assertFalse(sides[0].upgrade.otherServes());
-        sides[1].upgrade.serves();
-        await(sides[0].upgrade::otherServes);
+    void exchangesOrdersAndUsage(@TempDir Path directory) throws Exception {
+        TestProcess[] processes = startPair(directory);
+        processes[1].upgrade.publishOrdersChange();
+        assertEquals(1, processes[0].orderRefreshes.get());
+        waitUntil(() -> processes[0].shared.clients() == 3 && processes[0].shared.servers() == 6 && processes[1].shared.clients() == 7);
+        assertFalse(processes[0].upgrade.peerServes());
+        processes[1].upgrade.announceServing();
+        waitUntil(processes[0].upgrade::peerServes);
     }
 
     /** A socket file that a killed process left must not keep the next one from starting alone. */
     @Test
-    void aDeadProcessIsNotWaitedFor(@TempDir Path folder) throws Exception {
-        try (ServerSocketChannel left = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            left.bind(UnixDomainSocketAddress.of(folder.resolve("holdmux.sock")));
+    void staleSocketIsIgnored(@TempDir Path directory) throws Exception {
+        try (ServerSocketChannel stale = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            stale.bind(UnixDomainSocketAddress.of(directory.resolve("holdmux.sock")));
         }
-        assertFalse(new Side(folder, 1).upgrade.join());
-        assertFalse(new Side(null, 1).upgrade.join(), "without a folder there is no other");
+        assertFalse(new TestProcess(directory, 1).upgrade.join());
+        assertFalse(new TestProcess(null, 1).upgrade.join(), "without a folder there is no other");
     }
 
     /** Once the other process is gone it holds nothing, and no write waits for it. */
     @Test
-    void theEndOfTheOtherFreesItsShare(@TempDir Path folder) throws Exception {
-        Side older = new Side(folder, 7);
+    void peerExitReleasesItsUsage(@TempDir Path directory) throws Exception {
+        TestProcess older = new TestProcess(directory, 7);
         older.upgrade.join();
-        Path socket = folder.resolve("holdmux.sock");
+        Path socket = directory.resolve("holdmux.sock");
         SocketChannel newer = null;
         while (newer == null) {
             try {
@@ -118,18 +118,18 @@
             }
         }
         Link link = new Link(newer);
-        link.send(new Frame(Kind.HOLDS, 30, 40, 0));
-        link.send(new Frame(Kind.SERVES, 0, 0, 0));
-        await(() -> older.shared.clients() == 30 && older.upgrade.otherServes());
+        link.send(new Frame(Kind.USAGE, 30, 40, 0));
+        link.send(new Frame(Kind.SERVING, 0, 0, 0));
+        waitUntil(() -> older.shared.clients() == 30 && older.upgrade.peerServes());
         link.close();
-        await(() -> older.shared.clients() == 0 && !older.upgrade.otherServes());
+        waitUntil(() -> older.shared.clients() == 0 && !older.upgrade.peerServes());
         long start = System.nanoTime();
-        older.upgrade.written(new Written(1, 1, 1));
+        older.upgrade.onWrite(new LastWrite(1, 1, 1));
         assertTrue(System.nanoTime() - start < 200 * Clock.MS);
     }
 
     @Property(tries = 200, seed = "51")
-    void garbageIsNoFrame(@ForAll @Size(Link.SIZE) byte[] bytes) throws IOException {
+    void rejectsUnknownFrameKinds(@ForAll @Size(Link.FRAME_BYTES) byte[] bytes) throws IOException {
         int kind = ByteBuffer.wrap(bytes).getInt();
         if (kind < 0 || kind >= Kind.values().length) {
             assertThrows(IOException.class, () -> Link.decode(ByteBuffer.wrap(bytes)));
--- a/standins/src/main/java/holdmux/standins/DiscoveryAgent.java
+++ b/standins/src/main/java/holdmux/standins/DiscoveryAgent.java
@@ -1,7 +1,7 @@
 package holdmux.standins;
 
 import holdmux.standins.ServerList.Entry;
-import holdmux.standins.ServerList.View;
+import holdmux.standins.ServerList.ListResponse;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -22,30 +22,30 @@
 
 /** Discovery's agent on one machine: tells the list of servers, whole or what changed, holds watches, and has faults. */
 public final class DiscoveryAgent implements AutoCloseable {
-    private static final Pattern WATCH = Pattern.compile("GET /v1/endpoints\\?from=(\\d+)&hold_ms=(\\d+) .*");
+    private static final Pattern WATCH_REQUEST = Pattern.compile("GET /v1/endpoints\\?from=(\\d+)&hold_ms=(\\d+) .*");
     /** How long a watch may not hear of a fault that has set in. */
-    private static final long LOOK_MS = 50;
+    private static final long FAULT_POLL_MS = 50;
 
-    private final ServerList list;
+    private final ServerList serverList;
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     /** Answers to be cut in the middle, and to be made unreadable; only such that tell a change. */
-    private final AtomicInteger cuts = new AtomicInteger(), garbled = new AtomicInteger();
-    private final AtomicBoolean silentAfterCut = new AtomicBoolean();
+    private final AtomicInteger answersToTruncate = new AtomicInteger(), answersToGarble = new AtomicInteger();
+    private final AtomicBoolean silentAfterTruncation = new AtomicBoolean();
     /** Calls to be accepted and never answered, beside what the faults say. */
-    private final AtomicInteger swallowed = new AtomicInteger();
+    private final AtomicInteger callsToIgnore = new AtomicInteger();
     // all that follows under this object's monitor
-    private final Set<DiscoveryFault> faults = EnumSet.noneOf(DiscoveryFault.class);
-    private int slowMs;
+    private final Set<DiscoveryFault> activeFaults = EnumSet.noneOf(DiscoveryFault.class);
+    private int answerDelayMs;
     /** Versions up to this one are those of an earlier numbering. */
-    private long numberedFrom;
+    private long versionOffset;
     /** Calls made before the last silence of open watches have a lower number. */
-    private int silences;
+    private int silenceEpoch;
 
-    DiscoveryAgent(ServerList list) throws IOException {
-        this.list = list;
+    DiscoveryAgent(ServerList serverList) throws IOException {
+        this.serverList = serverList;
         listener = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-        thread(this::accept);
+        startThread(this::accept);
     }
 
     public InetSocketAddress address() {
@@ -53,159 +53,159 @@
     }
 
     /** Lets a fault set in. */
-    public synchronized void begin(DiscoveryFault fault) {
-        faults.add(fault);
+    public synchronized void inject(DiscoveryFault fault) {
+        activeFaults.add(fault);
         if (fault == DiscoveryFault.RENUMBERED) {
-            numberedFrom = Math.max(0, list.version() - 1);
+            versionOffset = Math.max(0, serverList.version() - 1);
         }
     }
 
     /** Ends a fault; calls that it caught stay as they are. */
-    public synchronized void end(DiscoveryFault fault) {
-        faults.remove(fault);
+    public synchronized void clear(DiscoveryFault fault) {
+        activeFaults.remove(fault);
     }
 
     /** Answers take this much longer from now on; ends with {@link DiscoveryFault#SLOW_ANSWERS}. */
-    public synchronized void slow(int ms) {
-        slowMs = ms;
-        faults.add(DiscoveryFault.SLOW_ANSWERS);
+    public synchronized void delayAnswers(int delayMs) {
+        answerDelayMs = delayMs;
+        activeFaults.add(DiscoveryFault.SLOW_ANSWERS);
     }
 
     /** The calls that are open now are never answered. */
-    public synchronized void silenceOpenCalls() {
-        silences++;
+    public synchronized void leaveOpenCallsUnanswered() {
+        silenceEpoch++;
     }
 
     /** The next calls are accepted and never answered. */
-    public void swallowNext(int calls) {
-        swallowed.set(calls);
+    public void ignoreNextCalls(int calls) {
+        callsToIgnore.set(calls);
     }
 
     /** The next answers that tell a change break off in the middle. */
-    public void cutNext(int answers) {
-        cuts.set(answers);
+    public void truncateNextAnswers(int answers) {
+        answersToTruncate.set(answers);
     }
 
     /** The next answers that tell a change cannot be read. */
-    public void garbleNext(int answers) {
-        garbled.set(answers);
+    public void garbleNextAnswers(int answers) {
+        answersToGarble.set(answers);
     }
 
     /** The next answer that tells a change breaks off in the middle, and from then on calls are never answered. */
-    public void cutNextThenFallSilent() {
-        silentAfterCut.set(true);
-        cutNext(1);
+    public void truncateNextAnswerThenGoSilent() {
+        silentAfterTruncation.set(true);
+        truncateNextAnswers(1);
     }
 
     /** Has left this address: takes no new connection, answers nothing more, and closes the open ones after this time. */
-    public void retire(long closeAfterMs) throws IOException {
-        begin(DiscoveryFault.SILENT_CALLS);
-        silenceOpenCalls();
+    public void retire(long closeDelayMs) throws IOException {
+        inject(DiscoveryFault.SILENT_CALLS);
+        leaveOpenCallsUnanswered();
         listener.close();
-        thread(() -> {
+        startThread(() -> {
             try {
-                Thread.sleep(closeAfterMs);
+                Thread.sleep(closeDelayMs);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            closeOpen();
+            closeConnections();
         });
     }
 
     /** The whole list in discovery's form. */
-    String whole() {
-        return json(list.since(0), 0, Set.of());
+    String fullList() {
+        return toJson(serverList.changesSince(0), 0, Set.of());
     }
 
-    private synchronized boolean has(DiscoveryFault fault) {
-        return faults.contains(fault);
+    private synchronized boolean isActive(DiscoveryFault fault) {
+        return activeFaults.contains(fault);
     }
 
-    private synchronized Set<DiscoveryFault> faults() {
-        return Set.copyOf(faults);
+    private synchronized Set<DiscoveryFault> activeFaults() {
+        return Set.copyOf(activeFaults);
     }
 
-    private synchronized int slowMs() {
-        return slowMs;
+    private synchronized int answerDelayMs() {
+        return answerDelayMs;
     }
 
-    private synchronized long numberedFrom() {
-        return numberedFrom;
+    private synchronized long versionOffset() {
+        return versionOffset;
     }
 
-    private synchronized int silences() {
-        return silences;
+    private synchronized int silenceEpoch() {
+        return silenceEpoch;
     }
 
     private void accept() {
         try {
             while (true) {
                 Socket socket = listener.accept();
-                open.add(socket);
-                thread(() -> speak(socket));
+                connections.add(socket);
+                startThread(() -> serveConnection(socket));
             }
         } catch (IOException e) {
             // closed
         }
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "discovery agent");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void speak(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-            for (String call = in.readLine(); call != null; call = in.readLine()) {
+            for (String requestLine = in.readLine(); requestLine != null; requestLine = in.readLine()) {
                 for (String header = in.readLine(); header != null && !header.isEmpty();) {
                     header = in.readLine();
                 }
-                if (!answer(call, socket)) {
-                    awaitEnd(in);
+                if (!answer(requestLine, socket)) {
+                    awaitClose(in);
                     return;
                 }
             }
         } catch (IOException | InterruptedException e) {
             // the caller left, or a fault ended it
         } finally {
-            open.remove(socket);
+            connections.remove(socket);
         }
     }
 
     /** Answers a call; false for one that is never answered. */
-    private boolean answer(String call, Socket socket) throws IOException, InterruptedException {
-        int silencesBefore = silences();
-        boolean swallow = take(swallowed);
-        Matcher watch = WATCH.matcher(call);
-        View view = watch.matches() ? held(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2))) : whole(0);
-        if (has(DiscoveryFault.SLOW_ANSWERS)) {
-            Thread.sleep(slowMs());
+    private boolean answer(String requestLine, Socket socket) throws IOException, InterruptedException {
+        int epochAtArrival = silenceEpoch();
+        boolean ignored = tryConsume(callsToIgnore);
+        Matcher watch = WATCH_REQUEST.matcher(requestLine);
+        ListResponse response = watch.matches() ? awaitChange(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2))) : fullList(0);
+        if (isActive(DiscoveryFault.SLOW_ANSWERS)) {
+            Thread.sleep(answerDelayMs());
         }
-        if (has(DiscoveryFault.RESET)) {
+        if (isActive(DiscoveryFault.RESET)) {
             reset(socket);
             throw new IOException("reset");
         }
-        if (swallow || has(DiscoveryFault.SILENT_CALLS) || silences() != silencesBefore) {
+        if (ignored || isActive(DiscoveryFault.SILENT_CALLS) || silenceEpoch() != epochAtArrival) {
             return false;
         }
-        write(socket, view);
+        writeResponse(socket, response);
         return true;
     }
 
-    private void write(Socket socket, View view) throws IOException {
-        boolean change = !view.entries().isEmpty();
-        String text = json(view, numberedFrom(), faults());
-        if (change && take(garbled)) {
+    private void writeResponse(Socket socket, ListResponse response) throws IOException {
+        boolean hasChanges = !response.entries().isEmpty();
+        String text = toJson(response, versionOffset(), activeFaults());
+        if (hasChanges && tryConsume(answersToGarble)) {
             text = text.replace(':', ';');
         }
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
         socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII));
-        if (change && take(cuts)) {
-            if (silentAfterCut.get()) {
-                begin(DiscoveryFault.SILENT_CALLS);
+        if (hasChanges && tryConsume(answersToTruncate)) {
+            if (silentAfterTruncation.get()) {
+                inject(DiscoveryFault.SILENT_CALLS);
             }
             socket.getOutputStream().write(body, 0, body.length / 2);
             throw new IOException("cut");
@@ -213,52 +213,52 @@
         socket.getOutputStream().write(body);
     }
 
-    private static boolean take(AtomicInteger left) {
-        return left.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+    private static boolean tryConsume(AtomicInteger remaining) {
+        return remaining.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
     }
 
-    private View whole(long from) {
-        return has(DiscoveryFault.OLDER_LIST) ? list.previous() : list.since(from);
+    private ListResponse fullList(long from) {
+        return isActive(DiscoveryFault.OLDER_LIST) ? serverList.previous() : serverList.changesSince(from);
     }
 
     /** What a watch is answered: news as soon as there is any, and nothing new when its hold is over. */
-    private View held(long from, long holdMs) throws InterruptedException {
-        long own = from + numberedFrom();
-        long by = System.nanoTime() + holdMs * 1_000_000L;
-        while (System.nanoTime() < by && (has(DiscoveryFault.OLDER_LIST) || list.version() <= own)) {
-            list.awaitNewer(own, Math.min(by, System.nanoTime() + LOOK_MS * 1_000_000L));
-            own = from + numberedFrom();
-            if (has(DiscoveryFault.OLDER_LIST)) {
-                Thread.sleep(LOOK_MS);
+    private ListResponse awaitChange(long from, long holdMs) throws InterruptedException {
+        long sinceVersion = from + versionOffset();
+        long deadlineNs = System.nanoTime() + holdMs * 1_000_000L;
+        while (System.nanoTime() < deadlineNs && (isActive(DiscoveryFault.OLDER_LIST) || serverList.version() <= sinceVersion)) {
+            serverList.awaitNewer(sinceVersion, Math.min(deadlineNs, System.nanoTime() + FAULT_POLL_MS * 1_000_000L));
+            sinceVersion = from + versionOffset();
+            if (isActive(DiscoveryFault.OLDER_LIST)) {
+                Thread.sleep(FAULT_POLL_MS);
             }
         }
-        if (has(DiscoveryFault.OLDER_LIST)) {
-            return new View(list.previous().version(), false, List.of());
+        if (isActive(DiscoveryFault.OLDER_LIST)) {
+            return new ListResponse(serverList.previous().version(), false, List.of());
         }
-        View view = own == 0 ? new View(list.version(), false, list.since(0).entries()) : list.since(own);
-        return has(DiscoveryFault.EMPTY_CHANGES) ? new View(view.version(), false, List.of()) : view;
+        ListResponse response = sinceVersion == 0 ? new ListResponse(serverList.version(), false, serverList.changesSince(0).entries()) : serverList.changesSince(sinceVersion);
+        return isActive(DiscoveryFault.EMPTY_CHANGES) ? new ListResponse(response.version(), false, List.of()) : response;
     }
 
-    private static String json(View view, long numberedFrom, Set<DiscoveryFault> faults) {
-        String lines = view.entries().stream().map(entry -> json(entry, faults)).collect(Collectors.joining(","));
-        return "{\"seq\":" + (view.version() - numberedFrom) + ",\"whole\":" + view.whole() + ",\"hosts\":[" + lines + "]}";
+    private static String toJson(ListResponse response, long versionOffset, Set<DiscoveryFault> faults) {
+        String entries = response.entries().stream().map(entry -> toJson(entry, faults)).collect(Collectors.joining(","));
+        return "{\"seq\":" + (response.version() - versionOffset) + ",\"whole\":" + response.whole() + ",\"hosts\":[" + entries + "]}";
     }
 
-    private static String json(Entry entry, Set<DiscoveryFault> faults) {
-        String line = entry.json();
+    private static String toJson(Entry entry, Set<DiscoveryFault> faults) {
+        String json = entry.toJson();
         if (entry.health().equals("up")) {
-            return line;
+            return json;
         }
-        line = faults.contains(DiscoveryFault.ENTRY_WITHOUT_DIAL) ? without("dial", line) : line;
-        line = faults.contains(DiscoveryFault.ENTRY_WITHOUT_HEALTH) ? without("health", line) : line;
-        return faults.contains(DiscoveryFault.ENTRY_WITHOUT_NAME) ? without("host", line) : line;
+        json = faults.contains(DiscoveryFault.ENTRY_WITHOUT_DIAL) ? withoutKey("dial", json) : json;
+        json = faults.contains(DiscoveryFault.ENTRY_WITHOUT_HEALTH) ? withoutKey("health", json) : json;
+        return faults.contains(DiscoveryFault.ENTRY_WITHOUT_NAME) ? withoutKey("host", json) : json;
     }
 
-    private static String without(String key, String line) {
-        return line.replaceAll("\"" + key + "\":\"[^\"]*\",", "");
+    private static String withoutKey(String key, String json) {
+        return json.replaceAll("\"" + key + "\":\"[^\"]*\",", "");
     }
 
-    private static void awaitEnd(BufferedReader in) throws IOException {
+    private static void awaitClose(BufferedReader in) throws IOException {
         while (in.read() >= 0) {
             // until the caller gives up
         }
@@ -269,8 +269,8 @@
         socket.close();
     }
 
-    private void closeOpen() {
-        for (Socket socket : open) {
+    private void closeConnections() {
+        for (Socket socket : connections) {
             try {
                 socket.close();
             } catch (IOException e) {
@@ -282,6 +282,6 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        closeOpen();
+        closeConnections();
     }
 }
--- a/standins/src/main/java/holdmux/standins/Fault.java
+++ b/standins/src/main/java/holdmux/standins/Fault.java
@@ -5,7 +5,7 @@
  * within the answer; {@code at} is the number of batches (Flight), or of answer bytes in sixteenths (PostgreSQL), that
  * still go out in the last case.
  */
-public record Fault(Kind kind, Phase phase, int at) {
+public record Fault(Kind kind, Phase phase, int progress) {
     /** What happens. */
     public enum Kind {
         /** Nothing more comes; the connection stays. */
@@ -30,7 +30,7 @@
     }
 
     /** Whether the request runs all the same. */
-    boolean runs() {
+    boolean requestRuns() {
         return phase != Phase.BEFORE_RUN;
     }
 }
--- a/standins/src/main/java/holdmux/standins/FaultRelay.java
+++ b/standins/src/main/java/holdmux/standins/FaultRelay.java
@@ -26,18 +26,18 @@
         SLOW
     }
 
-    private static final int SLOW_MS = 120, BUFFER = 16_384;
+    private static final int DEFAULT_DELAY_MS = 120, BUFFER_BYTES = 16_384;
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> sockets = new ArrayList<>();
     private Mode mode = Mode.PASS;
-    private int slowMs = SLOW_MS;
+    private int delayMs = DEFAULT_DELAY_MS;
 
     public FaultRelay(InetSocketAddress target) throws IOException {
         this.target = target;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        thread(this::accept);
+        startThread(this::accept);
     }
 
     public InetSocketAddress address() {
@@ -45,23 +45,23 @@
     }
 
     /** Connections that a silence began on do not outlive it: on a real network too their state is lost by then. */
-    public synchronized void set(Mode next) {
-        if (mode != next && (next == Mode.RESET || mode == Mode.SILENT || mode == Mode.HALF_OPEN)) {
-            List.copyOf(open).forEach(FaultRelay::reset);
-            open.clear();
+    public synchronized void setMode(Mode newMode) {
+        if (mode != newMode && (newMode == Mode.RESET || mode == Mode.SILENT || mode == Mode.HALF_OPEN)) {
+            List.copyOf(sockets).forEach(FaultRelay::reset);
+            sockets.clear();
         }
-        mode = next;
+        mode = newMode;
         notifyAll();
     }
 
     /** From now on all passes so much later, each way. */
-    public synchronized void slow(int delayMs) {
-        slowMs = delayMs;
-        set(Mode.SLOW);
+    public synchronized void setDelay(int oneWayMs) {
+        delayMs = oneWayMs;
+        setMode(Mode.SLOW);
     }
 
-    private synchronized int slowMs() {
-        return slowMs;
+    private synchronized int delayMs() {
+        return delayMs;
     }
 
     private synchronized Mode mode() {
@@ -71,48 +71,48 @@
     private void accept() {
         try {
             while (true) {
-                Socket from = listener.accept();
-                thread(() -> join(from));
+                Socket client = listener.accept();
+                startThread(() -> relay(client));
             }
         } catch (IOException e) {
             // closed
         }
     }
 
-    private void join(Socket from) {
+    private void relay(Socket client) {
         if (mode() == Mode.RESET) {
-            reset(from);
+            reset(client);
             return;
         }
-        Socket to = new Socket();
+        Socket upstream = new Socket();
         synchronized (this) {
-            open.add(from);
-            open.add(to);
+            sockets.add(client);
+            sockets.add(upstream);
         }
         try {
-            to.connect(target, 1_000);
-            to.setTcpNoDelay(true);
-            from.setTcpNoDelay(true);
-            thread(() -> pump(to, from, true));
-            pump(from, to, false);
+            upstream.connect(target, 1_000);
+            upstream.setTcpNoDelay(true);
+            client.setTcpNoDelay(true);
+            startThread(() -> copy(upstream, client, true));
+            copy(client, upstream, false);
         } catch (IOException e) {
-            reset(from);
+            reset(client);
         } finally {
             synchronized (this) {
-                open.remove(from);
-                open.remove(to);
+                sockets.remove(client);
+                sockets.remove(upstream);
             }
         }
     }
 
-    private void pump(Socket from, Socket to, boolean back) {
-        byte[] buffer = new byte[BUFFER];
+    private void copy(Socket from, Socket to, boolean fromTarget) {
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
-            for (int got = in.read(buffer); got >= 0; got = in.read(buffer)) {
-                awaitPassing(from, back);
-                out.write(buffer, 0, got);
+            for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+                delayOrBlock(from, fromTarget);
+                out.write(buffer, 0, count);
             }
         } catch (IOException | InterruptedException e) {
             // the other end is told below
@@ -121,12 +121,12 @@
         reset(to);
     }
 
-    private void awaitPassing(Socket from, boolean back) throws InterruptedException, IOException {
+    private void delayOrBlock(Socket from, boolean fromTarget) throws InterruptedException, IOException {
         if (mode() == Mode.SLOW) {
-            Thread.sleep(slowMs());
+            Thread.sleep(delayMs());
         }
         synchronized (this) {
-            while (mode == Mode.SILENT || mode == Mode.HALF_OPEN && back) {
+            while (mode == Mode.SILENT || mode == Mode.HALF_OPEN && fromTarget) {
                 if (from.isClosed()) {
                     throw new IOException("closed");
                 }
@@ -148,7 +148,7 @@
         }
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -157,6 +157,6 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        set(Mode.RESET);
+        setMode(Mode.RESET);
     }
 }
--- a/standins/src/main/java/holdmux/standins/FlightQuoteServer.java
+++ b/standins/src/main/java/holdmux/standins/FlightQuoteServer.java
@@ -1,7 +1,7 @@
 package holdmux.standins;
 
 import com.google.protobuf.Any;
-import holdmux.standins.QuoteGroup.Asked;
+import holdmux.standins.QuoteGroup.Statement;
 import holdmux.standins.QuoteGroup.Member;
 import io.grpc.ForwardingServerCall.SimpleForwardingServerCall;
 import io.grpc.ForwardingServerCallListener.SimpleForwardingServerCallListener;
@@ -68,30 +68,30 @@
  * gives B batches of R rows; the table facts gives one value.
  */
 final class FlightQuoteServer implements AutoCloseable {
-    private static final Pattern SIZE = Pattern.compile("(\\d+)x(\\d+).*");
-    private static final long DICTIONARY = 1;
+    private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d+)x(\\d+).*");
+    private static final long DICTIONARY_ID = 1;
     /** Batches of more rows all hold the first one's: a benchmark is to measure their way, not their making. */
-    private static final int LARGE = 10_000;
+    private static final int LARGE_BATCH_ROWS = 10_000;
     /** The SQLSTATE for a write that came to a replica. */
-    private static final String MISS = "25006";
+    private static final String READ_ONLY_SQLSTATE = "25006";
 
     private final QuoteGroup group;
     private final Member member;
     private final BufferAllocator allocator;
     private final FlightServer server;
-    private final EventLoopGroup loops = new NioEventLoopGroup(2, new DefaultThreadFactory("standin", true));
+    private final EventLoopGroup eventLoops = new NioEventLoopGroup(2, new DefaultThreadFactory("standin", true));
     private final Map<Object, Channel> channels = new ConcurrentHashMap<>();
     /** Where requests were asked for, so that a fault can reset just that connection; a silent one ends with it too. */
-    private final Map<String, Object> askers = new ConcurrentHashMap<>();
+    private final Map<String, Object> callerAddresses = new ConcurrentHashMap<>();
 
     FlightQuoteServer(QuoteGroup group, Member member) throws IOException {
         this.group = group;
         this.member = member;
         allocator = new RootAllocator();
-        Consumer<NettyServerBuilder> tune = builder -> builder.bossEventLoopGroup(loops).workerEventLoopGroup(loops)
-                .channelFactory(() -> new Listener(channels)).flowControlWindow(1 << 20).intercept(new Telling());
+        Consumer<NettyServerBuilder> customizer = builder -> builder.bossEventLoopGroup(eventLoops).workerEventLoopGroup(eventLoops)
+                .channelFactory(() -> new TrackingServerChannel(channels)).flowControlWindow(1 << 20).intercept(new StatusTrailerInterceptor());
         server = FlightServer.builder(allocator, Location.forGrpcInsecure("127.0.0.1", 0), new Producer())
-                .transportHint("grpc.builderConsumer", tune).build().start();
+                .transportHint("grpc.builderConsumer", customizer).build().start();
     }
 
     InetSocketAddress address() {
@@ -99,51 +99,51 @@
     }
 
     /** Knows the connections, so that one can be reset. */
-    private static final class Listener extends NioServerSocketChannel {
+    private static final class TrackingServerChannel extends NioServerSocketChannel {
         private final Map<Object, Channel> channels;
 
-        Listener(Map<Object, Channel> channels) {
+        TrackingServerChannel(Map<Object, Channel> channels) {
             this.channels = channels;
         }
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            int had = accepted.size();
-            int got = super.doReadMessages(accepted);
-            if (got > 0) {
-                Channel channel = (Channel) accepted.get(had);
+            int sizeBefore = accepted.size();
+            int count = super.doReadMessages(accepted);
+            if (count > 0) {
+                Channel channel = (Channel) accepted.get(sizeBefore);
                 channels.put(channel.remoteAddress(), channel);
                 channel.closeFuture().addListener(closed -> channels.remove(channel.remoteAddress(), channel));
             }
-            return got;
+            return count;
         }
     }
 
     /** Role, position and load in the trailers of every call; and who asked, before the producer hears of it. */
-    private final class Telling implements ServerInterceptor {
+    private final class StatusTrailerInterceptor implements ServerInterceptor {
         @Override
         public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
                 ServerCallHandler<Q, A> next) {
-            Object asker = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
-            ServerCall<Q, A> telling = new SimpleForwardingServerCall<>(call) {
+            Object callerAddress = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
+            ServerCall<Q, A> callWithTrailers = new SimpleForwardingServerCall<>(call) {
                 @Override
                 public void close(Status status, Metadata trailers) {
-                    put(trailers, "replication_role", group.role(member));
-                    put(trailers, "log_position", Long.toString(group.positionMs(member)));
-                    put(trailers, "pressure", group.pressure(member));
+                    putTrailer(trailers, "replication_role", group.role(member));
+                    putTrailer(trailers, "log_position", Long.toString(group.positionMs(member)));
+                    putTrailer(trailers, "pressure", group.loadReport(member));
                     // Arrow's own server cannot say FAILED_PRECONDITION, which stands for the wrong server
-                    boolean miss = MISS.equals(status.getDescription());
-                    super.close(miss ? Status.FAILED_PRECONDITION.withDescription(MISS) : status, trailers);
+                    boolean readOnly = READ_ONLY_SQLSTATE.equals(status.getDescription());
+                    super.close(readOnly ? Status.FAILED_PRECONDITION.withDescription(READ_ONLY_SQLSTATE) : status, trailers);
                 }
             };
             return new SimpleForwardingServerCallListener<>(
-                    next.startCall(telling, headers)) {
+                    next.startCall(callWithTrailers, headers)) {
                 @Override
                 public void onMessage(Q message) {
                     // the messages are bytes here; the id stands in them as it was written
                     Matcher id = Pattern.compile("\\bid=([^,*\\s]+)").matcher(message.toString());
                     if (id.find()) {
-                        askers.put(id.group(1), asker);
+                        callerAddresses.put(id.group(1), callerAddress);
                     }
                     super.onMessage(message);
                 }
@@ -151,7 +151,7 @@
         }
     }
 
-    private static void put(Metadata trailers, String name, String value) {
+    private static void putTrailer(Metadata trailers, String name, String value) {
         trailers.put(Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER), value);
     }
 
@@ -167,26 +167,26 @@
         @Override
         public void getStreamStatement(TicketStatementQuery ticket, CallContext context, ServerStreamListener listener) {
             String sql = ticket.getStatementHandle().toStringUtf8();
-            Asked asked = Asked.of(sql);
-            Fault fault = group.fault(asked.id());
-            group.begins(member);
+            Statement statement = Statement.parse(sql);
+            Fault fault = group.nextFault(statement.id());
+            group.requestStarted(member);
             try {
-                if (fault != null && !fault.runs()) {
-                    fail(fault, asked, listener);
+                if (fault != null && !fault.requestRuns()) {
+                    failQuery(fault, statement, listener);
                     return;
                 }
-                byte[] value = group.run(member, asked);
+                byte[] value = group.run(member, statement);
                 if (fault != null && fault.phase() == Fault.Phase.AFTER_RUN) {
-                    fail(fault, asked, listener);
+                    failQuery(fault, statement, listener);
                 } else if (sql.contains(" rates ")) {
-                    rates(asked, fault, listener);
+                    sendRates(statement, fault, listener);
                 } else {
-                    value(value, asked, fault, listener);
+                    sendValue(value, statement, fault, listener);
                 }
-            } catch (QuoteGroup.MissException e) {
-                listener.error(CallStatus.INVALID_ARGUMENT.withDescription(MISS).toRuntimeException());
+            } catch (QuoteGroup.ReadOnlyServerException e) {
+                listener.error(CallStatus.INVALID_ARGUMENT.withDescription(READ_ONLY_SQLSTATE).toRuntimeException());
             } finally {
-                group.ends(member);
+                group.requestEnded(member);
             }
         }
 
@@ -194,16 +194,16 @@
         public Runnable acceptPutStatement(CommandStatementUpdate command, CallContext context, FlightStream stream,
                 StreamListener<PutResult> ack) {
             return () -> {
-                Asked asked = Asked.of(command.getQuery());
-                Fault fault = group.fault(asked.id());
+                Statement statement = Statement.parse(command.getQuery());
+                Fault fault = group.nextFault(statement.id());
                 try {
-                    if (fault != null && !fault.runs()) {
-                        failPut(fault, asked, ack);
+                    if (fault != null && !fault.requestRuns()) {
+                        failUpdate(fault, statement, ack);
                         return;
                     }
-                    group.run(member, asked);
+                    group.run(member, statement);
                     if (fault != null) {
-                        failPut(fault, asked, ack);
+                        failUpdate(fault, statement, ack);
                         return;
                     }
                     byte[] result = FlightSql.DoPutUpdateResult.newBuilder().setRecordCount(1).build().toByteArray();
@@ -212,21 +212,21 @@
                         ack.onNext(PutResult.metadata(buffer));
                     }
                     ack.onCompleted();
-                } catch (QuoteGroup.MissException e) {
-                    ack.onError(CallStatus.INVALID_ARGUMENT.withDescription(MISS).toRuntimeException());
+                } catch (QuoteGroup.ReadOnlyServerException e) {
+                    ack.onError(CallStatus.INVALID_ARGUMENT.withDescription(READ_ONLY_SQLSTATE).toRuntimeException());
                 }
             };
         }
     }
 
-    private void value(byte[] value, Asked asked, Fault fault, ServerStreamListener listener) {
+    private void sendValue(byte[] value, Statement statement, Fault fault, ServerStreamListener listener) {
         Schema schema = new Schema(List.of(Field.nullable("data", ArrowType.Binary.INSTANCE)));
         try (VectorSchemaRoot root = VectorSchemaRoot.create(schema, allocator)) {
             ((VarBinaryVector) root.getVector(0)).setSafe(0, value);
             root.setRowCount(1);
             listener.start(root);
             if (fault != null) {
-                fail(fault, asked, listener); // the schema has gone out, the row has not
+                failQuery(fault, statement, listener); // the schema has gone out, the row has not
                 return;
             }
             listener.putNext();
@@ -235,11 +235,11 @@
     }
 
     /** Batches of a number, a lender by dictionary and a rate, with a pause wherever the reader is slow. */
-    private void rates(Asked asked, Fault fault, ServerStreamListener listener) {
-        Matcher size = SIZE.matcher(asked.key());
+    private void sendRates(Statement statement, Fault fault, ServerStreamListener listener) {
+        Matcher size = SIZE_PATTERN.matcher(statement.key());
         int batches = size.matches() ? Integer.parseInt(size.group(1)) : 1;
         int rows = size.matches() ? Integer.parseInt(size.group(2)) : 1;
-        DictionaryEncoding encoding = new DictionaryEncoding(DICTIONARY, false, new ArrowType.Int(32, true));
+        DictionaryEncoding encoding = new DictionaryEncoding(DICTIONARY_ID, false, new ArrowType.Int(32, true));
         try (VarCharVector lenders = new VarCharVector("lenders", allocator);
                 DictionaryProvider.MapDictionaryProvider dictionaries = new DictionaryProvider.MapDictionaryProvider();
                 BigIntVector number = new BigIntVector("number", allocator);
@@ -251,28 +251,28 @@
             dictionaries.put(new Dictionary(lenders, encoding));
             VectorSchemaRoot root = new VectorSchemaRoot(List.of(number, lender));
             CountDownLatch cancelled = new CountDownLatch(1);
-            Object ready = new Object();
-            listener.setOnReadyHandler(() -> wake(ready));
+            Object readyLock = new Object();
+            listener.setOnReadyHandler(() -> wake(readyLock));
             listener.setOnCancelHandler(() -> {
                 cancelled.countDown();
-                wake(ready);
+                wake(readyLock);
             });
             listener.start(root, dictionaries);
             for (int batch = 0; batch < batches && cancelled.getCount() > 0; batch++) {
-                if (fault != null && batch == fault.at()) {
-                    fail(fault, asked, listener);
+                if (fault != null && batch == fault.progress()) {
+                    failQuery(fault, statement, listener);
                     return;
                 }
-                for (int row = 0; row < rows && (batch == 0 || rows < LARGE); row++) {
+                for (int row = 0; row < rows && (batch == 0 || rows < LARGE_BATCH_ROWS); row++) {
                     number.setSafe(row, (long) batch * rows + row);
                     lender.setSafe(row, row % 3);
                 }
                 number.setValueCount(rows);
                 lender.setValueCount(rows);
                 root.setRowCount(rows);
-                synchronized (ready) {
+                synchronized (readyLock) {
                     while (!listener.isReady() && cancelled.getCount() > 0) {
-                        ready.wait(100);
+                        readyLock.wait(100);
                     }
                 }
                 listener.putNext();
@@ -283,21 +283,21 @@
         }
     }
 
-    private static void wake(Object ready) {
-        synchronized (ready) {
-            ready.notifyAll();
+    private static void wake(Object lock) {
+        synchronized (lock) {
+            lock.notifyAll();
         }
     }
 
     /** The connections that a request may have come on: the one it was asked on, or all where that is not known. */
-    private List<Channel> asker(Asked asked) {
-        Object asker = askers.get(asked.id());
-        Channel channel = asker == null ? null : channels.get(asker);
+    private List<Channel> callerChannels(Statement statement) {
+        Object callerAddress = callerAddresses.get(statement.id());
+        Channel channel = callerAddress == null ? null : channels.get(callerAddress);
         return channel == null ? List.copyOf(channels.values()) : List.of(channel);
     }
 
-    private void reset(Asked asked) {
-        for (Channel channel : asker(asked)) {
+    private void reset(Statement statement) {
+        for (Channel channel : callerChannels(statement)) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             close(channel);
             channel.closeFuture().awaitUninterruptibly(1, TimeUnit.SECONDS);
@@ -314,33 +314,33 @@
     }
 
     /** Noise where the next frame was owed. */
-    private void spoil(Asked asked) {
-        byte[] noise = new byte[64];
-        Arrays.fill(noise, (byte) 0xff);
-        for (Channel channel : asker(asked)) {
-            channel.pipeline().firstContext().writeAndFlush(Unpooled.wrappedBuffer(noise)).awaitUninterruptibly(1, TimeUnit.SECONDS);
+    private void sendGarbage(Statement statement) {
+        byte[] garbage = new byte[64];
+        Arrays.fill(garbage, (byte) 0xff);
+        for (Channel channel : callerChannels(statement)) {
+            channel.pipeline().firstContext().writeAndFlush(Unpooled.wrappedBuffer(garbage)).awaitUninterruptibly(1, TimeUnit.SECONDS);
         }
     }
 
     /** Nothing more until the peer has ended its connection. */
-    private void awaitGone(Asked asked) {
-        asker(asked).forEach(channel -> channel.closeFuture().awaitUninterruptibly(30, TimeUnit.SECONDS));
+    private void awaitDisconnect(Statement statement) {
+        callerChannels(statement).forEach(channel -> channel.closeFuture().awaitUninterruptibly(30, TimeUnit.SECONDS));
     }
 
-    private void fail(Fault fault, Asked asked, ServerStreamListener listener) {
+    private void failQuery(Fault fault, Statement statement, ServerStreamListener listener) {
         switch (fault.kind()) {
-            case SILENT -> awaitGone(asked);
-            case RESET -> reset(asked);
-            case SPOILT -> spoil(asked);
+            case SILENT -> awaitDisconnect(statement);
+            case RESET -> reset(statement);
+            case SPOILT -> sendGarbage(statement);
             default -> listener.error(status(fault).toRuntimeException());
         }
     }
 
-    private void failPut(Fault fault, Asked asked, StreamListener<PutResult> ack) {
+    private void failUpdate(Fault fault, Statement statement, StreamListener<PutResult> ack) {
         switch (fault.kind()) {
-            case SILENT -> awaitGone(asked);
-            case RESET -> reset(asked);
-            case SPOILT -> spoil(asked);
+            case SILENT -> awaitDisconnect(statement);
+            case RESET -> reset(statement);
+            case SPOILT -> sendGarbage(statement);
             default -> ack.onError(status(fault).toRuntimeException());
         }
     }
@@ -348,7 +348,7 @@
     private static CallStatus status(Fault fault) {
         return switch (fault.kind()) {
             case FULL -> CallStatus.RESOURCE_EXHAUSTED;
-            case MISS -> CallStatus.INVALID_ARGUMENT.withDescription(MISS);
+            case MISS -> CallStatus.INVALID_ARGUMENT.withDescription(READ_ONLY_SQLSTATE);
             default -> CallStatus.INTERNAL;
         };
     }
@@ -359,7 +359,7 @@
         server.shutdown();
         server.awaitTermination(2, TimeUnit.SECONDS);
         server.close();
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         // its memory is not accounted for: Arrow's server loses what waits on a stream that is reset
     }
 }
--- a/standins/src/main/java/holdmux/standins/PgQuoteServer.java
+++ b/standins/src/main/java/holdmux/standins/PgQuoteServer.java
@@ -1,6 +1,6 @@
 package holdmux.standins;
 
-import holdmux.standins.QuoteGroup.Asked;
+import holdmux.standins.QuoteGroup.Statement;
 import holdmux.standins.QuoteGroup.Member;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -19,20 +19,20 @@
     private final QuoteGroup group;
     private final Member member;
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
     PgQuoteServer(QuoteGroup group, Member member) throws IOException {
         this.group = group;
         this.member = member;
         listener = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
-        thread(this::accept).start();
+        newThread(this::accept).start();
     }
 
     InetSocketAddress address() {
         return new InetSocketAddress("127.0.0.1", listener.getLocalPort());
     }
 
-    private static Thread thread(Runnable work) {
+    private static Thread newThread(Runnable work) {
         Thread thread = new Thread(work, "standin");
         thread.setDaemon(true);
         return thread;
@@ -42,20 +42,20 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                open.add(socket);
-                thread(() -> speak(socket)).start();
+                sockets.add(socket);
+                newThread(() -> serveConnection(socket)).start();
             }
         } catch (IOException e) {
             // closed
         }
     }
 
-    private void speak(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             in.readNBytes(in.readInt() - 4);
-            socket.getOutputStream().write(new Messages().put('R', m -> m.writeInt(0)).ready().bytes());
+            socket.getOutputStream().write(new MessageBuffer().put('R', m -> m.writeInt(0)).readyForQuery().bytes());
             while (true) {
                 if (in.readByte() != 'Q') {
                     return;
@@ -66,48 +66,48 @@
         } catch (IOException e) {
             // the peer left, or a fault ended it
         } finally {
-            open.remove(socket);
+            sockets.remove(socket);
         }
     }
 
     private void answer(Socket socket, String sql) throws IOException {
         if (sql.equals("SHOW pressure")) {
-            socket.getOutputStream().write(row(group.pressure(member).getBytes(StandardCharsets.UTF_8), "SHOW").bytes());
+            socket.getOutputStream().write(rowResponse(group.loadReport(member).getBytes(StandardCharsets.UTF_8), "SHOW").bytes());
             return;
         }
-        group.arrived(member, sql);
-        Asked asked = Asked.of(sql);
-        Fault fault = group.fault(asked.id());
-        group.begins(member);
+        group.recordArrival(member, sql);
+        Statement statement = Statement.parse(sql);
+        Fault fault = group.nextFault(statement.id());
+        group.requestStarted(member);
         try {
-            if (fault != null && !fault.runs()) {
-                fail(socket, fault, null);
+            if (fault != null && !fault.requestRuns()) {
+                applyFault(socket, fault, null);
                 return;
             }
-            Messages answer;
+            MessageBuffer answer;
             try {
-                byte[] value = group.run(member, asked);
-                answer = row(value, asked.write() ? "INSERT 0 1" : "SELECT 1");
-            } catch (QuoteGroup.MissException e) {
-                socket.getOutputStream().write(error("25006").bytes());
+                byte[] value = group.run(member, statement);
+                answer = rowResponse(value, statement.write() ? "INSERT 0 1" : "SELECT 1");
+            } catch (QuoteGroup.ReadOnlyServerException e) {
+                socket.getOutputStream().write(errorResponse("25006").bytes());
                 return;
             }
             if (fault != null) {
-                fail(socket, fault, answer.bytes());
+                applyFault(socket, fault, answer.bytes());
             } else {
                 socket.getOutputStream().write(answer.bytes());
             }
         } finally {
-            group.ends(member);
+            group.requestEnded(member);
         }
     }
 
     /** Lets a fault happen; {@code answer} is what would have been said, null before a run. */
-    private void fail(Socket socket, Fault fault, byte[] answer) throws IOException {
+    private void applyFault(Socket socket, Fault fault, byte[] answer) throws IOException {
         if (fault.phase() == Fault.Phase.MIDWAY) {
             // within the row, at most: what CommandComplete follows is an answer
-            int row = answer.length / 2;
-            socket.getOutputStream().write(answer, 0, Math.min(row, answer.length * fault.at() / 16));
+            int rowEnd = answer.length / 2;
+            socket.getOutputStream().write(answer, 0, Math.min(rowEnd, answer.length * fault.progress() / 16));
         }
         switch (fault.kind()) {
             case SILENT -> {
@@ -121,18 +121,18 @@
                 socket.close();
             }
             case SPOILT -> {
-                byte[] noise = new byte[64];
-                java.util.Arrays.fill(noise, (byte) 0xff);
-                socket.getOutputStream().write(noise);
+                byte[] garbage = new byte[64];
+                java.util.Arrays.fill(garbage, (byte) 0xff);
+                socket.getOutputStream().write(garbage);
             }
-            case ERROR -> socket.getOutputStream().write(error("XX000").bytes());
-            case FULL -> socket.getOutputStream().write(error("53300").bytes());
-            case MISS -> socket.getOutputStream().write(error("25006").bytes());
+            case ERROR -> socket.getOutputStream().write(errorResponse("XX000").bytes());
+            case FULL -> socket.getOutputStream().write(errorResponse("53300").bytes());
+            case MISS -> socket.getOutputStream().write(errorResponse("25006").bytes());
         }
     }
 
-    private Messages row(byte[] value, String tag) throws IOException {
-        return new Messages().put('T', m -> {
+    private MessageBuffer rowResponse(byte[] value, String tag) throws IOException {
+        return new MessageBuffer().put('T', m -> {
             m.writeShort(1);
             m.writeBytes("data\0");
             m.writeInt(0);
@@ -145,53 +145,53 @@
             m.writeShort(1);
             m.writeInt(value.length);
             m.write(value);
-        }).put('C', m -> m.writeBytes(tag + "\0")).status("replication_role", group.role(member))
-                .status("log_position", Long.toString(group.positionMs(member)))
-                .status("pressure", group.pressure(member)).ready();
+        }).put('C', m -> m.writeBytes(tag + "\0")).parameterStatus("replication_role", group.role(member))
+                .parameterStatus("log_position", Long.toString(group.positionMs(member)))
+                .parameterStatus("pressure", group.loadReport(member)).readyForQuery();
     }
 
-    private Messages error(String sqlState) throws IOException {
-        return new Messages().put('E', m -> m.writeBytes("SERROR\0C" + sqlState + "\0Mplanned\0\0"))
-                .status("replication_role", group.role(member))
-                .status("log_position", Long.toString(group.positionMs(member))).ready();
+    private MessageBuffer errorResponse(String sqlState) throws IOException {
+        return new MessageBuffer().put('E', m -> m.writeBytes("SERROR\0C" + sqlState + "\0Mplanned\0\0"))
+                .parameterStatus("replication_role", group.role(member))
+                .parameterStatus("log_position", Long.toString(group.positionMs(member))).readyForQuery();
     }
 
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket socket : open) {
+        for (Socket socket : sockets) {
             socket.close();
         }
     }
 
     /** Messages of the protocol, one after the other. */
-    private static final class Messages {
+    private static final class MessageBuffer {
         private interface Body {
-            void to(DataOutputStream out) throws IOException;
+            void writeTo(DataOutputStream out) throws IOException;
         }
 
-        private final ByteArrayOutputStream all = new ByteArrayOutputStream();
+        private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
-        Messages put(char type, Body body) throws IOException {
+        MessageBuffer put(char type, Body body) throws IOException {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-            body.to(new DataOutputStream(bytes));
-            DataOutputStream out = new DataOutputStream(all);
+            body.writeTo(new DataOutputStream(bytes));
+            DataOutputStream out = new DataOutputStream(buffer);
             out.writeByte(type);
             out.writeInt(bytes.size() + 4);
             bytes.writeTo(out);
             return this;
         }
 
-        Messages status(String name, String value) throws IOException {
+        MessageBuffer parameterStatus(String name, String value) throws IOException {
             return put('S', m -> m.writeBytes(name + "\0" + value + "\0"));
         }
 
-        Messages ready() throws IOException {
+        MessageBuffer readyForQuery() throws IOException {
             return put('Z', m -> m.writeByte('I'));
         }
 
         byte[] bytes() {
-            return all.toByteArray();
+            return buffer.toByteArray();
         }
     }
 }
--- a/standins/src/main/java/holdmux/standins/ServerList.java
+++ b/standins/src/main/java/holdmux/standins/ServerList.java
@@ -9,7 +9,7 @@
 public final class ServerList {
     /** One server: {@code port} on loopback, {@code health} is up, draining or removed. */
     record Entry(String host, int port, String kind, int group, String health, boolean primary) {
-        String json() {
+        String toJson() {
             return "{\"host\":\"" + host + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"north\",\"class\":\"" + kind
                     + "\",\"block\":" + group + ",\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0,\"replication\":\""
                     + (primary ? "primary" : "standby") + "\"}";
@@ -17,20 +17,20 @@
     }
 
     /** What a call is answered: the whole list or the entries that changed, as of a version. */
-    record View(long version, boolean whole, List<Entry> entries) {}
+    record ListResponse(long version, boolean whole, List<Entry> entries) {}
 
-    private record Line(long version, Entry entry) {}
+    private record VersionedEntry(long version, Entry entry) {}
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, VersionedEntry> entriesByHost = new LinkedHashMap<>();
     private long version;
     /** The whole list as it was before the last change. */
-    private View previous = new View(0, true, List.of());
+    private ListResponse previous = new ListResponse(0, true, List.of());
 
     /** Adds or changes a server. */
     synchronized void put(Entry entry) {
-        previous = since(0);
+        previous = changesSince(0);
         version++;
-        lines.put(entry.host(), new Line(version, entry));
+        entriesByHost.put(entry.host(), new VersionedEntry(version, entry));
         notifyAll();
     }
 
@@ -40,30 +40,30 @@
     }
 
     /** What changed since a version; the whole list for 0. */
-    synchronized View since(long from) {
+    synchronized ListResponse changesSince(long fromVersion) {
         List<Entry> entries = new ArrayList<>();
-        for (Line line : lines.values()) {
-            boolean listed = from > 0 || !line.entry().health().equals("removed");
-            if (listed && line.version() > from) {
-                entries.add(line.entry());
+        for (VersionedEntry versioned : entriesByHost.values()) {
+            boolean included = fromVersion > 0 || !versioned.entry().health().equals("removed");
+            if (included && versioned.version() > fromVersion) {
+                entries.add(versioned.entry());
             }
         }
-        return new View(version, from == 0, List.copyOf(entries));
+        return new ListResponse(version, fromVersion == 0, List.copyOf(entries));
     }
 
     /** The whole list as it was before the last change. */
-    synchronized View previous() {
+    synchronized ListResponse previous() {
         return previous;
     }
 
     /** Waits until there is a version above this one, or until this moment of {@link System#nanoTime}. */
-    synchronized void awaitNewer(long than, long byNs) throws InterruptedException {
-        for (long leftMs = millis(byNs); version <= than && leftMs > 0; leftMs = millis(byNs)) {
-            wait(leftMs);
+    synchronized void awaitNewer(long seenVersion, long deadlineNs) throws InterruptedException {
+        for (long waitMs = remainingMs(deadlineNs); version <= seenVersion && waitMs > 0; waitMs = remainingMs(deadlineNs)) {
+            wait(waitMs);
         }
     }
 
-    private static long millis(long byNs) {
-        return (byNs - System.nanoTime()) / 1_000_000L;
+    private static long remainingMs(long deadlineNs) {
+        return (deadlineNs - System.nanoTime()) / 1_000_000L;
     }
 }
--- a/standins/src/main/java/holdmux/standins/StandIns.java
+++ b/standins/src/main/java/holdmux/standins/StandIns.java
@@ -15,18 +15,18 @@
     public static final String PG_KIND = "pg", FLIGHT_KIND = "flight";
     public static final int GROUP = 1;
 
-    private static final int FIRST_PORT = 20_000, PORTS = 10_000;
-    private static int nextPort = (int) (ProcessHandle.current().pid() * 97 % PORTS);
+    private static final int FIRST_PORT = 20_000, PORT_COUNT = 10_000;
+    private static int nextPort = (int) (ProcessHandle.current().pid() * 97 % PORT_COUNT);
 
     private final QuoteGroup group = new QuoteGroup();
-    private final Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
+    private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, String> kinds = new LinkedHashMap<>();
-    private final List<AutoCloseable> parts = new ArrayList<>();
-    private final ServerList servers = new ServerList();
-    private final DiscoveryAgent agent = new DiscoveryAgent(servers);
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private final ServerList serverList = new ServerList();
+    private final DiscoveryAgent agent = new DiscoveryAgent(serverList);
 
     public StandIns() throws IOException {
-        parts.add(agent);
+        resources.add(agent);
     }
 
     public QuoteGroup group() {
@@ -39,10 +39,10 @@
     }
 
     /** A further agent, as of another machine, that tells the same list. */
-    public synchronized DiscoveryAgent anotherAgent() throws IOException {
-        DiscoveryAgent another = new DiscoveryAgent(servers);
-        parts.add(another);
-        return another;
+    public synchronized DiscoveryAgent addAgent() throws IOException {
+        DiscoveryAgent added = new DiscoveryAgent(serverList);
+        resources.add(added);
+        return added;
     }
 
     /** Starts a server of this kind; the first one is the primary. */
@@ -50,41 +50,41 @@
         QuoteGroup.Member member = group.add(name);
         if (kind.equals(FLIGHT_KIND)) {
             FlightQuoteServer server = new FlightQuoteServer(group, member);
-            parts.add(server);
-            dials.put(name, server.address());
+            resources.add(server);
+            addresses.put(name, server.address());
         } else {
             PgQuoteServer server = new PgQuoteServer(group, member);
-            parts.add(server);
-            dials.put(name, server.address());
+            resources.add(server);
+            addresses.put(name, server.address());
         }
         kinds.put(name, kind);
-        list(name, "up");
+        setHealth(name, "up");
     }
 
     /** Lists a server with this health: up, draining or removed. */
-    public void list(String name, String health) {
-        put(name, name, GROUP, health);
+    public void setHealth(String name, String health) {
+        publish(name, name, GROUP, health);
     }
 
     /** Lists a further server of a group, played by one that was started: for fleets of a size that needs no more data. */
-    public void also(String name, String as, int group, String health) {
-        put(name, as, group, health);
+    public void addAlias(String name, String backingServer, int group, String health) {
+        publish(name, backingServer, group, health);
     }
 
-    private void put(String name, String as, int inGroup, String health) {
-        servers.put(new ServerList.Entry(name, dials.get(as).getPort(), kinds.get(as), inGroup, health,
-                group.leads(group.member(as))));
+    private void publish(String name, String backingServer, int groupNumber, String health) {
+        serverList.put(new ServerList.Entry(name, addresses.get(backingServer).getPort(), kinds.get(backingServer), groupNumber, health,
+                group.isPrimary(group.member(backingServer))));
     }
 
     /** Lists a server at another address, as when a machine is replaced. */
-    public void redirect(String name, InetSocketAddress address) {
-        dials.put(name, address);
-        list(name, "up");
+    public void setAddress(String name, InetSocketAddress address) {
+        addresses.put(name, address);
+        setHealth(name, "up");
     }
 
     /** Where a server listens. */
     public InetSocketAddress address(String name) {
-        return dials.get(name);
+        return addresses.get(name);
     }
 
     /**
@@ -93,9 +93,9 @@
      */
     public static synchronized int freePort() throws IOException {
         while (true) {
-            int port = FIRST_PORT + nextPort++ % PORTS;
-            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return free.getLocalPort();
+            int port = FIRST_PORT + nextPort++ % PORT_COUNT;
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
             } catch (java.net.BindException e) {
                 // another one
             }
@@ -104,12 +104,12 @@
 
     /** The configuration of a pooler of this deployment, in the platform's form. */
     public String config(int port, int memoryMb, int sockets) {
-        String classes = type("rate-lookup", "idempotent", 300, 1_200, 1) + "," + type("my-quotes", "idempotent", 300, 1_000, 1)
-                + "," + type("history", "idempotent", 500, 1_500, 2) + "," + type("quote-check", "idempotent", 600, 2_000, 1)
-                + "," + type("save-quote", "at_most_once", 1_500, 5_000, 3);
+        String classes = requestClassJson("rate-lookup", "idempotent", 300, 1_200, 1) + "," + requestClassJson("my-quotes", "idempotent", 300, 1_000, 1)
+                + "," + requestClassJson("history", "idempotent", 500, 1_500, 2) + "," + requestClassJson("quote-check", "idempotent", 600, 2_000, 1)
+                + "," + requestClassJson("save-quote", "at_most_once", 1_500, 5_000, 3);
         return "{\"name\":\"demo\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
                 + agent.address().getPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
-                + memoryMb + ",\"sockets\":" + sockets + "},\"known\":" + agent.whole() + ",\"settings\":{"
+                + memoryMb + ",\"sockets\":" + sockets + "},\"known\":" + agent.fullList() + ",\"settings\":{"
                 + "\"allowed\":{\"cancel\":true,\"conn-idle-ns\":15000000000,\"connect-timeout-ns\":250000000,"
                 + "\"max-attempts\":6,\"max-retry-after-ns\":500000000,\"may-duplicate\":true,\"peers\":false,"
                 + "\"probes\":true,\"retry-after\":true},\"balancers\":1,\"discovery\":\"automatic\","
@@ -122,15 +122,15 @@
                 + PG_KIND + "\",\"" + FLIGHT_KIND + "\"],\"step-ns\":5000000,\"tenants\":[],\"zone\":0,\"zones\":[\"north\"]}}";
     }
 
-    private static String type(String name, String effect, long wantedMs, long deadlineMs, int worth) {
-        return "{\"name\":\"" + name + "\",\"effect\":\"" + effect + "\",\"on-time-ns\":" + wantedMs * 1_000_000L
+    private static String requestClassJson(String name, String effect, long onTimeMs, long deadlineMs, int worth) {
+        return "{\"name\":\"" + name + "\",\"effect\":\"" + effect + "\",\"on-time-ns\":" + onTimeMs * 1_000_000L
                 + ",\"deadline-ns\":" + deadlineMs * 1_000_000L + ",\"worth\":" + worth + ".0,\"late-worth\":0.2}";
     }
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable part : parts) {
-            part.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 }
--- a/store/src/main/java/holdmux/store/LastHeard.java
+++ b/store/src/main/java/holdmux/store/ConfirmationAge.java
@@ -7,8 +7,8 @@
  * monotonic clock, which all processes share; after another boot by the wall clock, and where that went back it is as old
  * as can be. No clock: times are passed in.
  */
-public final class LastHeard {
-    private LastHeard() {}
+public final class ConfirmationAge {
+    private ConfirmationAge() {}
 
     /**
      * @param boot   the machine's present boot, empty where it is not told
@@ -17,11 +17,11 @@
      * @param mostNs what to tell where nothing can be known
      * @return nanoseconds since what was kept was confirmed
      */
-    public static long ageNs(LastGood kept, String boot, long nowNs, long unixMs, long mostNs) {
-        if (!boot.isEmpty() && boot.equals(kept.getBoot())) {
-            return Math.max(0, nowNs - kept.getHeardNs());
+    public static long ageNs(LastGood lastGood, String bootId, long nowNs, long unixMs, long maxNs) {
+        if (!bootId.isEmpty() && bootId.equals(lastGood.getBoot())) {
+            return Math.max(0, nowNs - lastGood.getHeardNs());
         }
-        long ageMs = unixMs - kept.getHeardUnixMs();
-        return ageMs < 0 || ageMs > mostNs / 1_000_000 ? mostNs : ageMs * 1_000_000;
+        long ageMs = unixMs - lastGood.getHeardUnixMs();
+        return ageMs < 0 || ageMs > maxNs / 1_000_000 ? maxNs : ageMs * 1_000_000;
     }
 }
--- a/store/src/main/java/holdmux/store/EntryCodec.java
+++ b/store/src/main/java/holdmux/store/EntryCodec.java
@@ -13,11 +13,11 @@
  */
 public final class EntryCodec {
     /** A whole version, whose quotes JSON escapes, and its figures; anything longer is refused unread. */
-    public static final int MOST_BYTES = 2 * PolicyVersion.MOST_BYTES + 16_384;
+    public static final int MAX_BYTES = 2 * PolicyVersion.MAX_BYTES + 16_384;
     /** Who proposed or asked: a name, not a text. */
-    static final int MOST_BY = 200;
+    static final int MAX_NAME_LENGTH = 200;
     /** The first problem of a version in words; the rest of a long one helps nobody. */
-    static final int MOST_PROBLEM = 1_000;
+    static final int MAX_PROBLEM_LENGTH = 1_000;
 
     private EntryCodec() {}
 
@@ -32,7 +32,7 @@
             object.put("activate", new JSONObject().put("number", a.number()).put("delayNs", a.delayNs())
                     .put("by", a.by()).put("quorum", a.quorum()));
         } else if (entry instanceof Checked c) {
-            String problem = c.problem().substring(0, Math.min(MOST_PROBLEM, c.problem().length()));
+            String problem = c.problem().substring(0, Math.min(MAX_PROBLEM_LENGTH, c.problem().length()));
             object.put("checked", new JSONObject().put("number", c.number()).put("member", c.member())
                     .put("problem", problem));
         }
@@ -42,12 +42,12 @@
     /**
      * The entry that the bytes hold.
      *
-     * @throws IllegalArgumentException for more than {@link #MOST_BYTES}, bytes that are not such an object, or a
+     * @throws IllegalArgumentException for more than {@link #MAX_BYTES}, bytes that are not such an object, or a
      *                                  name of more than 200 characters
      */
     public static Entry decode(byte[] bytes) {
-        if (bytes.length > MOST_BYTES) {
-            throw new IllegalArgumentException("an entry of " + bytes.length + " bytes, over " + MOST_BYTES);
+        if (bytes.length > MAX_BYTES) {
+            throw new IllegalArgumentException("an entry of " + bytes.length + " bytes, over " + MAX_BYTES);
         }
         try {
             JSONObject object = new JSONObject(new String(bytes, StandardCharsets.UTF_8));
@@ -57,23 +57,23 @@
             if (object.has("propose")) {
                 JSONObject v = object.getJSONObject("propose");
                 return new Propose(new PolicyVersion(v.getLong("number"), v.getLong("basedOn"), v.getString("text"),
-                        v.getString("sha256"), name(v, "by")));
+                        v.getString("sha256"), readName(v, "by")));
             }
             if (object.has("checked")) {
                 JSONObject c = object.getJSONObject("checked");
-                return new Checked(c.getLong("number"), name(c, "member"), c.getString("problem"));
+                return new Checked(c.getLong("number"), readName(c, "member"), c.getString("problem"));
             }
             JSONObject a = object.getJSONObject("activate");
-            return new Activate(a.getLong("number"), a.getLong("delayNs"), name(a, "by"), a.getInt("quorum"));
+            return new Activate(a.getLong("number"), a.getLong("delayNs"), readName(a, "by"), a.getInt("quorum"));
         } catch (JSONException e) {
             throw new IllegalArgumentException("not an entry of the store: " + e.getMessage(), e);
         }
     }
 
-    private static String name(JSONObject object, String key) {
+    private static String readName(JSONObject object, String key) {
         String name = object.getString(key);
-        if (name.length() > MOST_BY) {
-            throw new IllegalArgumentException("a name of " + name.length() + " characters, over " + MOST_BY);
+        if (name.length() > MAX_NAME_LENGTH) {
+            throw new IllegalArgumentException("a name of " + name.length() + " characters, over " + MAX_NAME_LENGTH);
         }
         return name;
     }
--- a/store/src/main/java/holdmux/store/Verdict.java
+++ b/store/src/main/java/holdmux/store/EntryResult.java
@@ -6,10 +6,10 @@
  * @param accepted whether the history changes
  * @param reason   empty when accepted
  */
-public record Verdict(boolean accepted, String reason) {
-    static final Verdict ACCEPTED = new Verdict(true, "");
+public record EntryResult(boolean accepted, String reason) {
+    static final EntryResult ACCEPTED = new EntryResult(true, "");
 
-    static Verdict refused(String reason) {
-        return new Verdict(false, reason);
+    static EntryResult refused(String reason) {
+        return new EntryResult(false, reason);
     }
 }
--- a/store/src/main/java/holdmux/store/TextDiff.java
+++ b/store/src/main/java/holdmux/store/PolicyDiff.java
@@ -11,27 +11,27 @@
 import org.json.JSONObject;
 
 /** What differs between two policies, by key, whatever the order and spacing of their texts. */
-public final class TextDiff {
-    private TextDiff() {}
+public final class PolicyDiff {
+    private PolicyDiff() {}
 
     /** A line for each key that differs: {@code key: old -> new}, with {@code (none)} where one lacks it. */
-    public static List<String> lines(String from, String to) {
-        Map<String, String> before = flat(from);
-        Map<String, String> after = flat(to);
+    public static List<String> lines(String oldText, String newText) {
+        Map<String, String> before = flatten(oldText);
+        Map<String, String> after = flatten(newText);
         TreeSet<String> keys = new TreeSet<>(before.keySet());
         keys.addAll(after.keySet());
         List<String> lines = new ArrayList<>();
         for (String key : keys) {
-            String was = before.getOrDefault(key, "(none)");
-            String is = after.getOrDefault(key, "(none)");
-            if (!was.equals(is)) {
-                lines.add(key + ": " + was + " -> " + is);
+            String oldValue = before.getOrDefault(key, "(none)");
+            String newValue = after.getOrDefault(key, "(none)");
+            if (!oldValue.equals(newValue)) {
+                lines.add(key + ": " + oldValue + " -> " + newValue);
             }
         }
         return lines;
     }
 
-    private static Map<String, String> flat(String text) {
+    private static Map<String, String> flatten(String text) {
         try {
             return new TreeMap<>(Flattener.flatten(new JSONObject(text)));
         } catch (JSONException e) {
--- a/store/src/main/java/holdmux/store/PolicyHistory.java
+++ b/store/src/main/java/holdmux/store/PolicyHistory.java
@@ -20,13 +20,13 @@
  */
 public record PolicyHistory(List<PolicyVersion> versions, List<Activation> activations, List<Checked> checks) {
     /** The most a pooler may be asked to wait before it switches. */
-    public static final long MOST_DELAY_NS = 60_000_000_000L;
+    public static final long MAX_DELAY_NS = 60_000_000_000L;
     /** Versions listed: figures alone take some 300 bytes each, and nobody changes policy ten times a day for years. */
-    public static final int MOST_VERSIONS = 10_000;
+    public static final int MAX_VERSIONS = 10_000;
     /** Text kept, in characters: a member's memory holds it, and each snapshot writes it. The oldest goes first. */
-    static final int MOST_TEXT = 16 << 20;
+    static final int MAX_TEXT_LENGTH = 16 << 20;
     /** Activations kept: what the history shows; the serial goes on. */
-    static final int MOST_ACTIVATIONS = 1_000;
+    static final int MAX_ACTIVATIONS = 1_000;
 
     /** The history of a new store: nothing kept, nothing in force. */
     public static final PolicyHistory EMPTY = new PolicyHistory(List.of(), List.of(), List.of());
@@ -49,7 +49,7 @@
     }
 
     /** The newest version kept, 0 for none. */
-    public long newest() {
+    public long newestNumber() {
         return versions.size();
     }
 
@@ -70,63 +70,63 @@
     }
 
     /** Whether the entry may be applied to this history; the same on every member, which is why no validator is asked. */
-    public Verdict check(Entry entry) {
+    public EntryResult check(Entry entry) {
         if (entry instanceof Propose propose) {
             return check(propose.version());
         }
         return entry instanceof Activate activate ? check(activate) : check((Checked) entry);
     }
 
-    private Verdict check(PolicyVersion version) {
-        if (version.number() != newest() + 1) {
-            return Verdict.refused("version " + version.number() + " cannot follow " + newest() + "; the newest is "
-                    + newest() + by(newest()) + "; look at the difference and propose again");
+    private EntryResult check(PolicyVersion version) {
+        if (version.number() != newestNumber() + 1) {
+            return EntryResult.refused("version " + version.number() + " cannot follow " + newestNumber() + "; the newest is "
+                    + newestNumber() + proposer(newestNumber()) + "; look at the difference and propose again");
         }
-        if (version.basedOn() != newest()) {
-            return Verdict.refused("version " + version.number() + " was made from " + version.basedOn() + ", but "
-                    + newest() + " was kept meanwhile" + by(newest()) + "; look at the difference and propose again");
+        if (version.basedOn() != newestNumber()) {
+            return EntryResult.refused("version " + version.number() + " was made from " + version.basedOn() + ", but "
+                    + newestNumber() + " was kept meanwhile" + proposer(newestNumber()) + "; look at the difference and propose again");
         }
-        if (version.isPruned() || !version.intact()) {
-            return Verdict.refused("version " + version.number() + " does not match its checksum: torn on its way");
+        if (version.isPruned() || !version.isIntact()) {
+            return EntryResult.refused("version " + version.number() + " does not match its checksum: torn on its way");
         }
-        if (versions.size() >= MOST_VERSIONS) {
-            return Verdict.refused(MOST_VERSIONS + " versions are kept already: begin a new store");
+        if (versions.size() >= MAX_VERSIONS) {
+            return EntryResult.refused(MAX_VERSIONS + " versions are kept already: begin a new store");
         }
-        return Verdict.ACCEPTED;
+        return EntryResult.ACCEPTED;
     }
 
-    private Verdict check(Activate activate) {
+    private EntryResult check(Activate activate) {
         PolicyVersion version = version(activate.number()).orElse(null);
         if (version == null) {
-            return Verdict.refused("version " + activate.number() + " is not kept; the newest is " + newest());
+            return EntryResult.refused("version " + activate.number() + " is not kept; the newest is " + newestNumber());
         }
         if (version.isPruned()) {
-            return Verdict.refused("version " + activate.number() + " is too old: its text is no longer kept");
+            return EntryResult.refused("version " + activate.number() + " is too old: its text is no longer kept");
         }
-        if (activate.delayNs() < 0 || activate.delayNs() > MOST_DELAY_NS) {
-            return Verdict.refused("a delay of " + activate.delayNs() + " ns is outside 0 to " + MOST_DELAY_NS);
+        if (activate.delayNs() < 0 || activate.delayNs() > MAX_DELAY_NS) {
+            return EntryResult.refused("a delay of " + activate.delayNs() + " ns is outside 0 to " + MAX_DELAY_NS);
         }
         if (active().map(a -> a.number() == activate.number()).orElse(false)) {
-            return Verdict.refused("version " + activate.number() + " is in force already");
+            return EntryResult.refused("version " + activate.number() + " is in force already");
         }
         int valid = 0;
         for (Checked c : checks(activate.number())) {
             if (!c.problem().isEmpty()) {
-                return Verdict.refused("member " + c.member() + " cannot serve under version " + activate.number()
+                return EntryResult.refused("member " + c.member() + " cannot serve under version " + activate.number()
                         + ": " + c.problem());
             }
             valid++;
         }
-        return valid >= activate.quorum() ? Verdict.ACCEPTED : Verdict.refused("only " + valid + " of the "
+        return valid >= activate.quorum() ? EntryResult.ACCEPTED : EntryResult.refused("only " + valid + " of the "
                 + activate.quorum() + " members needed have checked version " + activate.number() + " so far");
     }
 
-    private Verdict check(Checked found) {
-        PolicyVersion version = version(found.number()).orElse(null);
+    private EntryResult check(Checked checked) {
+        PolicyVersion version = version(checked.number()).orElse(null);
         if (version == null || version.isPruned()) {
-            return Verdict.refused("version " + found.number() + " is not kept");
+            return EntryResult.refused("version " + checked.number() + " is not kept");
         }
-        return checks.contains(found) ? Verdict.refused("told already") : Verdict.ACCEPTED;
+        return checks.contains(checked) ? EntryResult.refused("told already") : EntryResult.ACCEPTED;
     }
 
     /** The history with the entry applied where {@link #check} accepts it, else this same history. */
@@ -135,31 +135,31 @@
             return this;
         }
         if (entry instanceof Propose propose) {
-            List<PolicyVersion> more = new ArrayList<>(versions);
-            more.add(propose.version());
-            return new PolicyHistory(prune(more), activations, checks).withoutChecksOfPruned();
+            List<PolicyVersion> updated = new ArrayList<>(versions);
+            updated.add(propose.version());
+            return new PolicyHistory(prune(updated), activations, checks).withoutChecksOfPruned();
         }
-        if (entry instanceof Checked found) {
-            List<Checked> more = new ArrayList<>(checks);
+        if (entry instanceof Checked checked) {
+            List<Checked> updated = new ArrayList<>(checks);
             // a member that runs another version of the program meanwhile may find otherwise
-            more.removeIf(c -> c.number() == found.number() && c.member().equals(found.member()));
-            more.add(found);
-            return new PolicyHistory(versions, activations, more);
+            updated.removeIf(c -> c.number() == checked.number() && c.member().equals(checked.member()));
+            updated.add(checked);
+            return new PolicyHistory(versions, activations, updated);
         }
         Activate activate = (Activate) entry;
-        List<Activation> more = new ArrayList<>(activations);
+        List<Activation> updated = new ArrayList<>(activations);
         long serial = active().map(Activation::serial).orElse(0L) + 1;
-        more.add(new Activation(activate.number(), activate.delayNs(), serial, activate.by()));
-        return new PolicyHistory(versions, more.subList(Math.max(0, more.size() - MOST_ACTIVATIONS), more.size()), checks);
+        updated.add(new Activation(activate.number(), activate.delayNs(), serial, activate.by()));
+        return new PolicyHistory(versions, updated.subList(Math.max(0, updated.size() - MAX_ACTIVATIONS), updated.size()), checks);
     }
 
-    /** Drops the text of the oldest versions beyond {@link #MOST_TEXT}, never of the newest or the one in force. */
+    /** Drops the text of the oldest versions beyond {@link #MAX_TEXT_LENGTH}, never of the newest or the one in force. */
     private List<PolicyVersion> prune(List<PolicyVersion> all) {
-        long text = all.stream().mapToLong(v -> v.text().length()).sum();
+        long textLength = all.stream().mapToLong(v -> v.text().length()).sum();
         long inForce = active().map(Activation::number).orElse(0L);
-        for (int i = 0; i < all.size() - 1 && text > MOST_TEXT; i++) {
+        for (int i = 0; i < all.size() - 1 && textLength > MAX_TEXT_LENGTH; i++) {
             if (all.get(i).number() != inForce) {
-                text -= all.get(i).text().length();
+                textLength -= all.get(i).text().length();
                 all.set(i, all.get(i).pruned());
             }
         }
@@ -171,7 +171,7 @@
                 checks.stream().filter(c -> !version(c.number()).orElseThrow().isPruned()).toList());
     }
 
-    private String by(long number) {
+    private String proposer(long number) {
         return version(number).map(v -> " by " + v.by()).orElse("");
     }
 }
--- a/store/src/main/java/holdmux/store/PolicyText.java
+++ b/store/src/main/java/holdmux/store/PolicyText.java
@@ -17,7 +17,7 @@
  * "evacuated":["pooler-7"]}}, all but {@code settings} optional.
  *
  * @param settings  the {@code settings} object of a pooler's configuration; the keys that are each pooler's own
- *                  ({@link SettingsReader#OWN}) count from its file, whatever stands here
+ *                  ({@link SettingsReader#LOCAL_KEYS}) count from its file, whatever stands here
  * @param discovery where the server list is asked for, null to leave that to each pooler's file
  * @param excluded  servers that every pooler leaves out, by name, beside those its own operators left out
  * @param evacuated poolers, by name, that send their clients away
@@ -32,26 +32,26 @@
      */
     public static PolicyText read(String text) {
         try {
-            JSONObject all = new JSONObject(text);
-            for (String key : new TreeSet<>(all.keySet())) {
+            JSONObject policy = new JSONObject(text);
+            for (String key : new TreeSet<>(policy.keySet())) {
                 if (!KEYS.contains(key)) {
                     throw new ConfigException("unknown key " + key + "; a policy has " + String.join(", ", KEYS));
                 }
             }
-            JSONObject settings = all.getJSONObject("settings");
-            SettingsReader.check(settings);
-            return new PolicyText(settings, all.has("discovery") ? Config.address(all.getString("discovery")) : null,
-                    names(all, "excluded"), names(all, "evacuated"));
+            JSONObject settings = policy.getJSONObject("settings");
+            SettingsReader.validate(settings);
+            return new PolicyText(settings, policy.has("discovery") ? Config.address(policy.getString("discovery")) : null,
+                    names(policy, "excluded"), names(policy, "evacuated"));
         } catch (JSONException e) {
             throw new ConfigException("policy: " + e.getMessage());
         }
     }
 
-    private static Set<String> names(JSONObject all, String key) {
-        JSONArray listed = all.has(key) ? all.getJSONArray(key) : new JSONArray();
+    private static Set<String> names(JSONObject policy, String key) {
+        JSONArray array = policy.has(key) ? policy.getJSONArray(key) : new JSONArray();
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < listed.length(); i++) {
-            String name = listed.getString(i);
+        for (int i = 0; i < array.length(); i++) {
+            String name = array.getString(i);
             if (name.isEmpty()) {
                 throw new ConfigException(key + "." + i + " is empty");
             }
