--- a/store/src/main/java/holdmux/store/PolicyVersion.java
+++ b/store/src/main/java/holdmux/store/PolicyVersion.java
@@ -11,13 +11,13 @@
  *
  * @param number  the version, 1 for the first; each is one more than the version it was made from
  * @param basedOn the version that the proposer saw as the newest when it was made, 0 for none
- * @param text    JSON, at most {@link #MOST_BYTES} bytes of UTF-8; empty once {@linkplain #pruned pruned}
+ * @param text    JSON, at most {@link #MAX_BYTES} bytes of UTF-8; empty once {@linkplain #pruned pruned}
  * @param sha256  SHA-256 of {@code text} in UTF-8, 64 hex digits: what every member checks before it accepts
  * @param by      who proposed it, for the history; any text of at most 200 characters
  */
 public record PolicyVersion(long number, long basedOn, String text, String sha256, String by) {
     /** A pooler's file is read up to 1 MiB; a policy is the larger part of it. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
 
     public PolicyVersion {
         Objects.requireNonNull(text, "text");
@@ -41,7 +41,7 @@
     }
 
     /** Whether the checksum is that of the text: false for a version torn or changed on its way. */
-    public boolean intact() {
+    public boolean isIntact() {
         return checksum(text).equals(sha256);
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** The first twelve digits of the checksum, as logs and {@code SHOW STATS} name a version beside its number. */
-    public String shortSum() {
+    public String shortChecksum() {
         return sha256.substring(0, Math.min(12, sha256.length()));
     }
 }
--- a/store/src/main/java/holdmux/store/PolicyView.java
+++ b/store/src/main/java/holdmux/store/PolicyView.java
@@ -16,7 +16,7 @@
  */
 public final class PolicyView {
     /** What the pooler does at a moment. */
-    public sealed interface Standing {
+    public sealed interface State {
         /** The version served under, or null where there is none. */
         PolicyVersion version();
 
@@ -31,47 +31,47 @@
      * New requests are served under this version.
      *
      * @param serial    the activation that put it in force, 0 for the version kept from before the start
-     * @param ageNs     see {@link Standing#ageNs}
+     * @param ageNs     see {@link State#ageNs}
      * @param confirmed whether the store has answered since the start
      */
-    public record Serve(PolicyVersion version, long serial, long ageNs, boolean confirmed) implements Standing {}
+    public record Serve(PolicyVersion version, long serial, long ageNs, boolean confirmed) implements State {}
 
     /** New requests are refused, another pooler may take them: the version may be out of date by more than the bound. */
-    public record Refuse(PolicyVersion version, long ageNs, String reason) implements Standing {}
+    public record Refuse(PolicyVersion version, long ageNs, String reason) implements State {}
 
     /**
      * Activations that may wait at once: one a round trip to the store, for at most a delay of 60 s. Sixteen changes
      * within one delay are beyond any operator; the oldest then goes unserved, as a newer one stands behind it.
      */
-    static final int MOST_PENDING = 16;
+    static final int MAX_PENDING = 16;
 
-    private record Pending(Activation activation, PolicyVersion version, long atNs) {}
+    private record Pending(Activation activation, PolicyVersion version, long dueNs) {}
 
-    private final long boundNs;
+    private final long stalenessBoundNs;
     private final long startNs;
-    private final long spentNs;
-    private PolicyVersion serving;
-    private long servingSerial;
-    /** Activations heard of and not in force yet, oldest first; see {@link #MOST_PENDING}. */
+    private final long initialAgeNs;
+    private PolicyVersion currentVersion;
+    private long currentSerial;
+    /** Activations heard of and not in force yet, oldest first; see {@link #MAX_PENDING}. */
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     private long seenSerial;
-    private long heardNs;
-    private boolean everHeard;
+    private long lastConfirmedNs;
+    private boolean everConfirmed;
 
     /**
      * @param lastGood the version that this pooler served last, as kept in its own file, or null
-     * @param spentNs  the {@link Standing#ageNs} at the start, 0 where no version was kept
+     * @param spentNs  the {@link State#ageNs} at the start, 0 where no version was kept
      * @param boundNs  how long a pooler cut off from the store may serve a version that it cannot confirm; positive
      * @param startNs  the start, on the pooler's clock
      */
-    public PolicyView(PolicyVersion lastGood, long spentNs, long boundNs, long startNs) {
-        if (boundNs <= 0 || spentNs < 0) {
+    public PolicyView(PolicyVersion lastGood, long initialAgeNs, long stalenessBoundNs, long startNs) {
+        if (stalenessBoundNs <= 0 || initialAgeNs < 0) {
             throw new IllegalArgumentException("the bound must be positive and the time spent not negative: "
-                    + boundNs + ", " + spentNs);
+                    + stalenessBoundNs + ", " + initialAgeNs);
         }
-        this.serving = lastGood;
-        this.spentNs = spentNs;
-        this.boundNs = boundNs;
+        this.currentVersion = lastGood;
+        this.initialAgeNs = initialAgeNs;
+        this.stalenessBoundNs = stalenessBoundNs;
         this.startNs = startNs;
     }
 
@@ -81,20 +81,20 @@
      *
      * @return whether the answer was taken
      */
-    public boolean learned(Activation active, PolicyVersion version, long nowNs) {
+    public boolean update(Activation active, PolicyVersion version, long nowNs) {
         if (active == null || active.serial() <= seenSerial) {
             return true;
         }
-        if (version == null || version.number() != active.number() || !version.intact()) {
+        if (version == null || version.number() != active.number() || !version.isIntact()) {
             return false;
         }
         seenSerial = active.serial();
-        if (!trusted(nowNs) || serving == null) {
-            serving = version;
-            servingSerial = active.serial();
+        if (!isFresh(nowNs) || currentVersion == null) {
+            currentVersion = version;
+            currentSerial = active.serial();
             pending.clear();
         } else {
-            if (pending.size() == MOST_PENDING) {
+            if (pending.size() == MAX_PENDING) {
                 pending.removeFirst();
             }
             pending.addLast(new Pending(active, version, nowNs + active.delayNs()));
@@ -103,45 +103,45 @@
     }
 
     /** Nothing that was put in force before this moment is unknown here (see {@link Quorum}). */
-    public void confirmed(long atNs) {
-        if (!everHeard || atNs - heardNs > 0) {
-            heardNs = atNs;
-            everHeard = true;
+    public void confirm(long atNs) {
+        if (!everConfirmed || atNs - lastConfirmedNs > 0) {
+            lastConfirmedNs = atNs;
+            everConfirmed = true;
         }
     }
 
     /** What new requests meet at this moment; switches first where an activation's delay has passed. */
-    public Standing at(long nowNs) {
+    public State stateAt(long nowNs) {
         Pending due = null;
         for (Pending next : pending) {
-            due = nowNs - next.atNs() >= 0 ? next : due;
+            due = nowNs - next.dueNs() >= 0 ? next : due;
         }
         while (due != null && pending.removeFirst() != due) {
             // older ones are overtaken by the newest that is due
         }
         if (due != null) {
-            serving = due.version();
-            servingSerial = due.activation().serial();
+            currentVersion = due.version();
+            currentSerial = due.activation().serial();
         }
-        long age = everHeard ? nowNs - heardNs : nowNs - startNs + spentNs;
-        if (serving == null) {
-            return new Refuse(null, age, "no policy yet: the store has not been reached and none was kept");
+        long ageNs = everConfirmed ? nowNs - lastConfirmedNs : nowNs - startNs + initialAgeNs;
+        if (currentVersion == null) {
+            return new Refuse(null, ageNs, "no policy yet: the store has not been reached and none was kept");
         }
-        if (age > boundNs) {
-            return new Refuse(serving, age, "cut off from the store for " + age / 1_000_000 + " ms, over the bound of "
-                    + boundNs / 1_000_000 + " ms: version " + serving.number() + " may be out of date");
+        if (ageNs > stalenessBoundNs) {
+            return new Refuse(currentVersion, ageNs, "cut off from the store for " + ageNs / 1_000_000 + " ms, over the bound of "
+                    + stalenessBoundNs / 1_000_000 + " ms: version " + currentVersion.number() + " may be out of date");
         }
-        return new Serve(serving, servingSerial, age, everHeard);
+        return new Serve(currentVersion, currentSerial, ageNs, everConfirmed);
     }
 
-    /** Until when what {@link #at} told at this moment holds if nothing more is heard; this moment for a refusal. */
-    public long holdsUntil(long nowNs) {
-        if (!(at(nowNs) instanceof Serve serve)) {
+    /** Until when what {@link #stateAt} told at this moment holds if nothing more is heard; this moment for a refusal. */
+    public long validUntil(long nowNs) {
+        if (!(stateAt(nowNs) instanceof Serve serving)) {
             return nowNs;
         }
-        long until = nowNs + boundNs - serve.ageNs() + 1;
+        long until = nowNs + stalenessBoundNs - serving.ageNs() + 1;
         for (Pending next : pending) {
-            until = next.atNs() - until < 0 ? next.atNs() : until;
+            until = next.dueNs() - until < 0 ? next.dueNs() : until;
         }
         return until;
     }
@@ -150,8 +150,8 @@
      * What to keep for the next start: the version heard of last, even if its delay has not passed. Kept with when the
      * store was last heard, an older one would be served for a bound anew after a restart within the delay.
      */
-    public PolicyVersion newest() {
-        return pending.isEmpty() ? serving : pending.getLast().version();
+    public PolicyVersion newestVersion() {
+        return pending.isEmpty() ? currentVersion : pending.getLast().version();
     }
 
     /** The newest activation that this pooler has heard of, in force or not; 0 for none. */
@@ -165,15 +165,15 @@
     }
 
     /** Whether this pooler has served under what the store confirmed, without a gap over the bound. */
-    private boolean trusted(long nowNs) {
-        return everHeard && nowNs - heardNs <= boundNs;
+    private boolean isFresh(long nowNs) {
+        return everConfirmed && nowNs - lastConfirmedNs <= stalenessBoundNs;
     }
 
     @Override
     public String toString() {
-        return "policy " + (serving == null ? "none" : serving.number() + " " + serving.shortSum())
+        return "policy " + (currentVersion == null ? "none" : currentVersion.number() + " " + currentVersion.shortChecksum())
                 + (pending.isEmpty() ? "" : ", " + pending.getLast().activation().number() + " at "
-                        + pending.getLast().atNs())
-                + ", heard " + (everHeard ? heardNs : "never");
+                        + pending.getLast().dueNs())
+                + ", heard " + (everConfirmed ? lastConfirmedNs : "never");
     }
 }
--- a/store/src/main/java/holdmux/store/Quorum.java
+++ b/store/src/main/java/holdmux/store/Quorum.java
@@ -14,21 +14,21 @@
  * Not thread-safe.
  */
 public final class Quorum {
-    private final Map<String, Long> askedNs = new HashMap<>();
+    private final Map<String, Long> lastAskedNs = new HashMap<>();
 
     /** This member answered a question asked then, having applied all of its log. */
-    public void answered(String member, long asked) {
-        askedNs.merge(member, asked, (a, b) -> b - a > 0 ? b : a);
+    public void answered(String member, long askedNs) {
+        lastAskedNs.merge(member, askedNs, (a, b) -> b - a > 0 ? b : a);
     }
 
     /** Whether a majority of these has answered at all. */
     public boolean isMajority(Collection<String> members) {
-        return 2 * members.stream().filter(askedNs::containsKey).count() > members.size();
+        return 2 * members.stream().filter(lastAskedNs::containsKey).count() > members.size();
     }
 
     /** The latest moment at or after which a majority of these members was asked and answered; they must be one. */
     public long confirmedNs(Collection<String> members) {
-        long[] asked = members.stream().filter(askedNs::containsKey).mapToLong(askedNs::get).toArray();
+        long[] asked = members.stream().filter(lastAskedNs::containsKey).mapToLong(lastAskedNs::get).toArray();
         Arrays.sort(asked);
         return asked[asked.length - (members.size() / 2 + 1)];
     }
--- a/store/src/main/java/holdmux/store/Validator.java
+++ b/store/src/main/java/holdmux/store/Validator.java
@@ -11,8 +11,8 @@
 
     /** The pooler's own: what {@code serve} would take up. */
     Validator POLICY = text -> {
-        if (text.getBytes(StandardCharsets.UTF_8).length > PolicyVersion.MOST_BYTES) {
-            return "over " + PolicyVersion.MOST_BYTES + " bytes";
+        if (text.getBytes(StandardCharsets.UTF_8).length > PolicyVersion.MAX_BYTES) {
+            return "over " + PolicyVersion.MAX_BYTES + " bytes";
         }
         try {
             PolicyText.read(text);
--- a/store/src/main/java/holdmux/store/host/StoreOptions.java
+++ b/store/src/main/java/holdmux/store/host/StoreOptions.java
@@ -15,8 +15,8 @@
  * @param first   whether an empty folder begins a new store
  * @param bound   how long this pooler may serve a version that it cannot confirm
  */
-public record StoreOptions(Members members, String id, InetSocketAddress listen, Path folder, boolean first,
-        Duration bound) {
+public record StoreOptions(Members members, String memberId, InetSocketAddress listenAddress, Path directory, boolean bootstrap,
+        Duration stalenessBound) {
     /** An election takes up to two seconds, in which nobody can confirm anything: a shorter bound closes the fleet then. */
-    public static final Duration LEAST_BOUND = Duration.ofSeconds(3);
+    public static final Duration MIN_STALENESS_BOUND = Duration.ofSeconds(3);
 }
--- a/store/src/main/java/holdmux/store/raft/Routes.java
+++ b/store/src/main/java/holdmux/store/raft/MemberRoutes.java
@@ -18,26 +18,26 @@
  * port, a relay). Members are named {@code holdmux-store:///n1@10.0.0.1:7001} to the library, which asks here for the
  * address whenever it connects.
  */
-public final class Routes {
+public final class MemberRoutes {
     private static final String SCHEME = "holdmux-store";
-    private static final Map<String, InetSocketAddress> OWN = new ConcurrentHashMap<>();
+    private static final Map<String, InetSocketAddress> OVERRIDES = new ConcurrentHashMap<>();
 
     static {
-        NameResolverRegistry.getDefaultRegistry().register(new Provider());
+        NameResolverRegistry.getDefaultRegistry().register(new ResolverProvider());
     }
 
-    private Routes() {}
+    private MemberRoutes() {}
 
     /** Reaches this member by this way from now on, in the whole process. */
     public static void set(String member, InetSocketAddress address) {
-        OWN.put(member, address);
+        OVERRIDES.put(member, address);
     }
 
-    static String target(String member, InetSocketAddress address) {
+    static String targetUri(String member, InetSocketAddress address) {
         return SCHEME + ":///" + member + "@" + address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static final class Provider extends NameResolverProvider {
+    private static final class ResolverProvider extends NameResolverProvider {
         @Override
         protected boolean isAvailable() {
             return true;
@@ -65,7 +65,7 @@
             }
             String path = target.getPath().substring(1);
             String member = path.substring(0, path.indexOf('@'));
-            InetSocketAddress told = Config.address(path.substring(path.indexOf('@') + 1));
+            InetSocketAddress loggedAddress = Config.address(path.substring(path.indexOf('@') + 1));
             return new NameResolver() {
                 @Override
                 public String getServiceAuthority() {
@@ -75,7 +75,7 @@
                 @Override
                 public void start(Listener2 listener) {
                     listener.onResult(ResolutionResult.newBuilder().setAddresses(
-                            List.of(new EquivalentAddressGroup(OWN.getOrDefault(member, told)))).build());
+                            List.of(new EquivalentAddressGroup(OVERRIDES.getOrDefault(member, loggedAddress)))).build());
                 }
 
                 @Override
--- a/store/src/main/java/holdmux/store/raft/PolicyStateMachine.java
+++ b/store/src/main/java/holdmux/store/raft/PolicyStateMachine.java
@@ -7,12 +7,12 @@
 import holdmux.store.Entry.Propose;
 import holdmux.store.EntryCodec;
 import holdmux.store.FleetView;
-import holdmux.store.Forms;
+import holdmux.store.ProtoMapper;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyHistory.Activation;
-import holdmux.store.SealedFile;
+import holdmux.store.ChecksummedFile;
 import holdmux.store.Validator;
-import holdmux.store.Verdict;
+import holdmux.store.EntryResult;
 import holdmux.store.wire.Answer;
 import holdmux.store.wire.News;
 import holdmux.store.wire.Poll;
@@ -50,26 +50,26 @@
  */
 final class PolicyStateMachine extends BaseStateMachine {
     /** The snapshot's file: what it is and, in the last place, its form. */
-    static final String FORM = "holdmux1";
+    static final String SNAPSHOT_MAGIC = "holdmux1";
     /** Polls that wait here at once; further ones are answered as they come. */
-    private static final int MOST_WAITING = 10_000;
-    private static final int MOST_HOLD_MS = 30_000;
+    private static final int MAX_WAITING_POLLS = 10_000;
+    private static final int MAX_HOLD_MS = 30_000;
 
-    private record Waiting(long seenSerial, CompletableFuture<Message> answer) {}
+    private record WaitingPoll(long seenSerial, CompletableFuture<Message> answer) {}
 
     /** Made anew where a snapshot was put aside, as it would go on naming that one. */
     private volatile SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final Validator validator;
-    private final Runnable kept;
+    private final Runnable onVersionKept;
     private final FleetView fleet = new FleetView();
-    private final Set<Waiting> waiting = new LinkedHashSet<>(); // by identity: each has a future of its own
+    private final Set<WaitingPoll> waitingPolls = new LinkedHashSet<>(); // by identity: each has a future of its own
     private PolicyHistory history = PolicyHistory.EMPTY;
     private volatile String failure = "";
 
     /** {@code kept}: called, quick, whenever a version may have been kept. */
-    PolicyStateMachine(Validator validator, Runnable kept) {
+    PolicyStateMachine(Validator validator, Runnable onVersionKept) {
         this.validator = validator;
-        this.kept = kept;
+        this.onVersionKept = onVersionKept;
     }
 
     synchronized PolicyHistory history() {
@@ -85,13 +85,13 @@
     public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage) throws IOException {
         super.initialize(server, group, raftStorage);
         storage.init(raftStorage);
-        load(raftStorage);
+        loadSnapshot(raftStorage);
     }
 
     @Override
     public void reinitialize() throws IOException {
         // another member's snapshot has been put in place
-        load(getServer().join().getDivision(getGroupId()).getRaftStorage());
+        loadSnapshot(getServer().join().getDivision(getGroupId()).getRaftStorage());
     }
 
     @Override
@@ -100,7 +100,7 @@
     }
 
     /** The newest snapshot that is whole; one that is not is put aside, as the one before and the log behind it serve too. */
-    private void load(RaftStorage raftStorage) throws IOException {
+    private void loadSnapshot(RaftStorage raftStorage) throws IOException {
         while (true) {
             SingleFileSnapshotInfo newest = storage.loadLatestSnapshot();
             if (newest == null) {
@@ -108,14 +108,14 @@
             }
             Path file = newest.getFile().getPath();
             try {
-                PolicyHistory read = Forms.history(Snapshot.parseFrom(SealedFile.read(file, FORM)));
+                PolicyHistory loaded = ProtoMapper.toHistory(Snapshot.parseFrom(ChecksummedFile.read(file, SNAPSHOT_MAGIC)));
                 synchronized (this) {
-                    history = read;
+                    history = loaded;
                     setLastAppliedTermIndex(newest.getTermIndex());
                 }
-                kept.run();
+                onVersionKept.run();
                 return;
-            } catch (SealedFile.UnfitException | InvalidProtocolBufferException | IllegalArgumentException e) {
+            } catch (ChecksummedFile.InvalidFileException | InvalidProtocolBufferException | IllegalArgumentException e) {
                 Log.warn("store: a snapshot is put aside: " + e.getMessage());
                 Files.move(file, file.resolveSibling("unfit-" + file.getFileName()));
                 Files.deleteIfExists(MD5FileUtil.getDigestFileForFile(file.toFile()).toPath());
@@ -127,17 +127,17 @@
 
     @Override
     public long takeSnapshot() throws IOException {
-        TermIndex last;
-        PolicyHistory now;
+        TermIndex lastApplied;
+        PolicyHistory current;
         synchronized (this) {
-            last = getLastAppliedTermIndex();
-            now = history;
+            lastApplied = getLastAppliedTermIndex();
+            current = history;
         }
-        File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
-        SealedFile.write(file.toPath(), FORM, Forms.of(now, true).toByteArray());
+        File file = storage.getSnapshotFile(lastApplied.getTerm(), lastApplied.getIndex());
+        ChecksummedFile.write(file.toPath(), SNAPSHOT_MAGIC, ProtoMapper.toProto(current, true).toByteArray());
         MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
-        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), last));
-        return last.getIndex();
+        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), lastApplied));
+        return lastApplied.getIndex();
     }
 
     /**
@@ -147,7 +147,7 @@
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
         byte[] bytes = request.getMessage().getContent().toByteArray();
-        String refused;
+        String refusal;
         try {
             Entry entry = EntryCodec.decode(bytes);
             if (entry instanceof Activate a) {
@@ -155,18 +155,18 @@
                 entry = new Activate(a.number(), a.delayNs(), a.by(), voters / 2 + 1);
                 bytes = EntryCodec.encode(entry);
             }
-            refused = history().check(entry).reason();
-            if (refused.isEmpty() && entry instanceof Propose propose) {
+            refusal = history().check(entry).reason();
+            if (refusal.isEmpty() && entry instanceof Propose propose) {
                 String problem = validator.problem(propose.version().text());
-                refused = problem.isEmpty() ? "" : "not a valid policy: " + problem;
+                refusal = problem.isEmpty() ? "" : "not a valid policy: " + problem;
             }
         } catch (IllegalArgumentException e) {
-            refused = e.getMessage();
+            refusal = e.getMessage();
         }
         TransactionContext transaction = TransactionContext.newBuilder().setStateMachine(this).setClientRequest(request)
                 .setLogData(ByteString.copyFrom(bytes)).build();
-        if (!refused.isEmpty()) {
-            transaction.setException(new RefusedException(refused));
+        if (!refusal.isEmpty()) {
+            transaction.setException(new RefusedException(refusal));
         }
         return transaction;
     }
@@ -175,41 +175,41 @@
     static final class RefusedException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        RefusedException(String words) {
-            super(words);
+        RefusedException(String reason) {
+            super(reason);
         }
     }
 
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
-        LogEntryProto logged = transaction.getLogEntry();
-        byte[] bytes = logged.getStateMachineLogEntry().getLogData().toByteArray();
-        Verdict verdict = apply(bytes, TermIndex.valueOf(logged));
-        return CompletableFuture.completedFuture(Message.valueOf(verdict.reason()));
+        LogEntryProto logEntry = transaction.getLogEntry();
+        byte[] bytes = logEntry.getStateMachineLogEntry().getLogData().toByteArray();
+        EntryResult result = apply(bytes, TermIndex.valueOf(logEntry));
+        return CompletableFuture.completedFuture(Message.valueOf(result.reason()));
     }
 
-    private Verdict apply(byte[] bytes, TermIndex at) {
-        Verdict verdict;
-        List<Waiting> answered = List.of();
+    private EntryResult apply(byte[] bytes, TermIndex termIndex) {
+        EntryResult result;
+        List<WaitingPoll> pollsToAnswer = List.of();
         synchronized (this) {
             try {
                 Entry entry = EntryCodec.decode(bytes);
-                verdict = history.check(entry);
+                result = history.check(entry);
                 history = history.apply(entry);
-                if (verdict.accepted() && entry instanceof Activate) {
-                    answered = new ArrayList<>(waiting);
-                    waiting.clear();
+                if (result.accepted() && entry instanceof Activate) {
+                    pollsToAnswer = new ArrayList<>(waitingPolls);
+                    waitingPolls.clear();
                 }
             } catch (IllegalArgumentException e) {
-                verdict = new Verdict(false, e.getMessage()); // the same bytes on every member, and so the same no
+                result = new EntryResult(false, e.getMessage()); // the same bytes on every member, and so the same no
             }
-            updateLastAppliedTermIndex(at);
+            updateLastAppliedTermIndex(termIndex);
         }
-        for (Waiting poll : answered) {
-            poll.answer().complete(message(news(poll.seenSerial())));
+        for (WaitingPoll poll : pollsToAnswer) {
+            poll.answer().complete(toMessage(newsAnswer(poll.seenSerial())));
         }
-        kept.run();
-        return verdict;
+        onVersionKept.run();
+        return result;
     }
 
     /** From this member's own copy, whoever leads: what that is worth the asker tells by a majority of answers. */
@@ -219,77 +219,77 @@
             Question question = Question.parseFrom(request.getContent().toByteArray());
             return switch (question.getOfCase()) {
                 case POLL -> poll(question.getPoll());
-                case HISTORY -> done(answer().setHistory(Forms.of(history(), false)).build());
-                case VERSION -> done(history().version(question.getVersion())
-                        .map(v -> answer().setVersion(Forms.of(v)).build())
-                        .orElse(problem("version " + question.getVersion() + " is not kept; the newest is "
-                                + history().newest())));
+                case HISTORY -> completed(newAnswer().setHistory(ProtoMapper.toProto(history(), false)).build());
+                case VERSION -> completed(history().version(question.getVersion())
+                        .map(v -> newAnswer().setVersion(ProtoMapper.toProto(v)).build())
+                        .orElse(problemAnswer("version " + question.getVersion() + " is not kept; the newest is "
+                                + history().newestNumber())));
                 case FLEET -> {
                     synchronized (this) {
-                        yield done(answer().setFleet(fleet.told(System.nanoTime())).build());
+                        yield completed(newAnswer().setFleet(fleet.toFleet(System.nanoTime())).build());
                     }
                 }
-                default -> done(problem("a question that this program does not know"));
+                default -> completed(problemAnswer("a question that this program does not know"));
             };
         } catch (InvalidProtocolBufferException e) {
-            return done(problem("not a question: " + e.getMessage()));
+            return completed(problemAnswer("not a question: " + e.getMessage()));
         }
     }
 
     private synchronized CompletableFuture<Message> poll(Poll poll) {
-        fleet.heard(poll.getStanding(), System.nanoTime());
-        boolean news = history.active().map(Activation::serial).orElse(0L) > poll.getSeenSerial();
-        if (news || poll.getHoldMs() == 0 || waiting.size() >= MOST_WAITING) {
-            return done(news(poll.getSeenSerial()));
+        fleet.update(poll.getStanding(), System.nanoTime());
+        boolean hasNews = history.active().map(Activation::serial).orElse(0L) > poll.getSeenSerial();
+        if (hasNews || poll.getHoldMs() == 0 || waitingPolls.size() >= MAX_WAITING_POLLS) {
+            return completed(newsAnswer(poll.getSeenSerial()));
         }
-        Waiting held = new Waiting(poll.getSeenSerial(), new CompletableFuture<>());
-        waiting.add(held);
-        Message none = message(news(poll.getSeenSerial()));
-        return held.answer().completeOnTimeout(none, Math.min(MOST_HOLD_MS, poll.getHoldMs()), TimeUnit.MILLISECONDS)
+        WaitingPoll waitingPoll = new WaitingPoll(poll.getSeenSerial(), new CompletableFuture<>());
+        waitingPolls.add(waitingPoll);
+        Message unchanged = toMessage(newsAnswer(poll.getSeenSerial()));
+        return waitingPoll.answer().completeOnTimeout(unchanged, Math.min(MAX_HOLD_MS, poll.getHoldMs()), TimeUnit.MILLISECONDS)
                 .whenComplete((answer, failed) -> {
                     synchronized (this) {
-                        waiting.remove(held);
+                        waitingPolls.remove(waitingPoll);
                     }
                 });
     }
 
-    private synchronized Answer news(long seenSerial) {
+    private synchronized Answer newsAnswer(long seenSerial) {
         News.Builder news = News.newBuilder();
         history.active().ifPresent(active -> {
-            news.setActive(Forms.of(active));
+            news.setActive(ProtoMapper.toProto(active));
             if (active.serial() > seenSerial) {
-                news.setVersion(Forms.of(history.version(active.number()).orElseThrow()));
+                news.setVersion(ProtoMapper.toProto(history.version(active.number()).orElseThrow()));
             }
         });
-        return answer().setNews(news).build();
+        return newAnswer().setNews(news).build();
     }
 
     /** What the answer is worth, with it; the log is looked at first, so that all it held then is in the answer. */
-    private synchronized Answer.Builder answer() {
+    private synchronized Answer.Builder newAnswer() {
         RaftServer.Division division;
         try {
             division = getServer().join().getDivision(getGroupId());
         } catch (IOException e) {
             return Answer.newBuilder(); // the member is just ending
         }
-        TermIndex logged = division.getRaftLog().getLastEntryTermIndex();
+        TermIndex lastLogged = division.getRaftLog().getLastEntryTermIndex();
         long applied = getLastAppliedTermIndex().getIndex();
         Answer.Builder answer = Answer.newBuilder().setApplied(Math.max(0, applied))
-                .setSettled(logged == null || applied >= logged.getIndex());
-        division.getRaftConf().getCurrentPeers().forEach(peer -> answer.addMembers(Members.shown(peer)));
+                .setSettled(lastLogged == null || applied >= lastLogged.getIndex());
+        division.getRaftConf().getCurrentPeers().forEach(peer -> answer.addMembers(Members.nameAndAddress(peer)));
         return answer;
     }
 
-    private Answer problem(String words) {
-        return answer().setProblem(words).build();
+    private Answer problemAnswer(String problem) {
+        return newAnswer().setProblem(problem).build();
     }
 
-    private static Message message(Answer answer) {
+    private static Message toMessage(Answer answer) {
         return Message.valueOf(ByteString.copyFrom(answer.toByteArray()));
     }
 
-    private static CompletableFuture<Message> done(Answer answer) {
-        return CompletableFuture.completedFuture(message(answer));
+    private static CompletableFuture<Message> completed(Answer answer) {
+        return CompletableFuture.completedFuture(toMessage(answer));
     }
 
     @Override
--- a/store/src/main/java/holdmux/store/raft/StoreClient.java
+++ b/store/src/main/java/holdmux/store/raft/StoreClient.java
@@ -4,7 +4,7 @@
 import holdmux.store.Entry;
 import holdmux.store.EntryCodec;
 import holdmux.store.Quorum;
-import holdmux.store.Verdict;
+import holdmux.store.EntryResult;
 import holdmux.store.wire.Answer;
 import holdmux.store.wire.Question;
 import java.io.Closeable;
@@ -39,36 +39,36 @@
  */
 public final class StoreClient implements Closeable {
     /** Tries of one write: as many as find a new leader; between them a part of an election's time. */
-    private static final int WRITE_TRIES = 12, WRITE_AGAIN_MS = 250;
+    private static final int MAX_WRITE_ATTEMPTS = 12, WRITE_RETRY_MS = 250;
 
     /** A log is ahead of what is applied for a round trip or, where the leader has gone, until another one leads. */
-    private static final int CONFIRM_BOUNDS = 5, CONFIRM_AGAIN_MS = 30;
+    private static final int CONFIRM_TIMEOUTS = 5, CONFIRM_RETRY_MS = 30;
 
     /** How one member of the store stands, as it says itself. */
-    public record Standing(String name, String address, String role, long committed, List<String> members) {}
+    public record MemberStatus(String name, String address, String role, long committed, List<String> members) {}
 
     /** Those that this was told of and those that members told of since. */
     private volatile Members members;
-    private final long boundMs;
-    private final long holdMs;
+    private final long timeoutMs;
+    private final long maxHoldMs;
     private final Map<String, RaftClient> clients = new HashMap<>();
 
     /** {@code boundMs}: how long a call may take; nothing is asked to be held. */
-    public StoreClient(Members members, long boundMs) {
-        this(members, boundMs, 0);
+    public StoreClient(Members members, long timeoutMs) {
+        this(members, timeoutMs, 0);
     }
 
     /** {@code holdMs}: the longest that a question may ask to be held, which is allowed beside the bound. */
-    public StoreClient(Members members, long boundMs, long holdMs) {
+    public StoreClient(Members members, long timeoutMs, long maxHoldMs) {
         this.members = members;
-        this.boundMs = boundMs;
-        this.holdMs = holdMs;
+        this.timeoutMs = timeoutMs;
+        this.maxHoldMs = maxHoldMs;
     }
 
     /** The answer of this member from its own copy, which may be behind the others': see {@link Quorum}. */
     public Answer ask(Question question, String member) throws IOException {
         Message message = Message.valueOf(ByteString.copyFrom(question.toByteArray()));
-        RaftClient client = client(member);
+        RaftClient client = clientFor(member);
         try {
             // the blocking way: the library's asynchronous one says hello to the leader first, whoever is asked
             RaftClientReply reply = client.io().sendStaleRead(message, 0, RaftPeerId.valueOf(member));
@@ -76,12 +76,12 @@
                 throw reply.getException() == null ? new IOException("no answer") : reply.getException();
             }
             Answer answer = Answer.parseFrom(reply.getMessage().getContent().toByteArray());
-            learn(answer.getMembersList());
+            addKnownMembers(answer.getMembersList());
             return answer;
         } catch (InvalidProtocolBufferException e) {
             throw new IOException("not an answer: " + e.getMessage(), e);
         } catch (IOException e) {
-            drop(member, client);
+            discard(member, client);
             throw e;
         }
     }
@@ -93,37 +93,37 @@
      * @throws IOException where no majority does, or that member has a problem with the question
      */
     public Answer ask(Question question) throws IOException {
-        String last = "";
-        long by = System.nanoTime() + CONFIRM_BOUNDS * boundMs * 1_000_000;
+        String lastFailure = "";
+        long deadlineNs = System.nanoTime() + CONFIRM_TIMEOUTS * timeoutMs * 1_000_000;
         do {
             Quorum quorum = new Quorum();
-            Answer furthest = null;
-            for (int i = 0; i < known().size(); i++) { // an answer may tell of one more
-                String member = known().get(i);
+            Answer freshest = null;
+            for (int i = 0; i < knownMembers().size(); i++) { // an answer may tell of one more
+                String member = knownMembers().get(i);
                 try {
                     Answer answer = ask(question, member);
                     if (answer.getSettled()) {
                         quorum.answered(member, 0);
-                        furthest = furthest == null || answer.getApplied() > furthest.getApplied() ? answer : furthest;
+                        freshest = freshest == null || answer.getApplied() > freshest.getApplied() ? answer : freshest;
                     }
                 } catch (IOException e) {
-                    last = ": " + e.getMessage();
+                    lastFailure = ": " + e.getMessage();
                 }
             }
-            if (furthest != null && quorum.isMajority(names(furthest))) {
-                if (!furthest.getProblem().isEmpty()) {
-                    throw new IOException(furthest.getProblem());
+            if (freshest != null && quorum.isMajority(memberNames(freshest))) {
+                if (!freshest.getProblem().isEmpty()) {
+                    throw new IOException(freshest.getProblem());
                 }
-                return furthest;
+                return freshest;
             }
-            pause(CONFIRM_AGAIN_MS);
-        } while (System.nanoTime() - by < 0);
-        throw new IOException("no majority of the store's members answers" + last);
+            pause(CONFIRM_RETRY_MS);
+        } while (System.nanoTime() - deadlineNs < 0);
+        throw new IOException("no majority of the store's members answers" + lastFailure);
     }
 
     /** The members of the store by name, as the answering one has them. */
-    public static List<String> names(Answer answer) {
-        return answer.getMembersList().stream().map(shown -> shown.substring(0, shown.indexOf('='))).toList();
+    public static List<String> memberNames(Answer answer) {
+        return answer.getMembersList().stream().map(member -> member.substring(0, member.indexOf('='))).toList();
     }
 
     /**
@@ -132,71 +132,71 @@
      * @return whether the store took it
      * @throws IOException where nobody can tell: it may have been taken, or may yet be
      */
-    public Verdict write(Entry entry) throws IOException {
+    public EntryResult write(Entry entry) throws IOException {
         Message message = Message.valueOf(ByteString.copyFrom(EntryCodec.encode(entry)));
-        RaftClient client = client("");
+        RaftClient client = clientFor("");
         try {
-            RaftClientReply reply = within(client.async().send(message), WRITE_TRIES * (WRITE_AGAIN_MS + boundMs) / 2);
+            RaftClientReply reply = await(client.async().send(message), MAX_WRITE_ATTEMPTS * (WRITE_RETRY_MS + timeoutMs) / 2);
             String reason = reply.getMessage().getContent().toStringUtf8();
-            return new Verdict(reason.isEmpty(), reason);
+            return new EntryResult(reason.isEmpty(), reason);
         } catch (StateMachineException e) {
-            return new Verdict(false, words(e));
+            return new EntryResult(false, refusalReason(e));
         } catch (IOException e) {
-            drop("", client);
+            discard("", client);
             throw new IOException("no majority of the store answered in time, so it is not known whether this was taken; "
                     + "the history will tell: " + e.getMessage(), e);
         }
     }
 
-    private static String words(Throwable e) {
+    private static String refusalReason(Throwable e) {
         String message = String.valueOf(e.getMessage());
-        String mark = PolicyStateMachine.RefusedException.class.getName() + ": ";
-        int at = message.indexOf(mark);
-        String words = at < 0 ? message : message.substring(at + mark.length());
-        return words.lines().findFirst().orElse(words);
+        String prefix = PolicyStateMachine.RefusedException.class.getName() + ": ";
+        int at = message.indexOf(prefix);
+        String reason = at < 0 ? message : message.substring(at + prefix.length());
+        return reason.lines().findFirst().orElse(reason);
     }
 
     /** How a member stands, asked of itself; needs no majority. */
-    public Standing standing(String member) throws IOException {
-        RaftClient client = client(member);
+    public MemberStatus status(String member) throws IOException {
+        RaftClient client = clientFor(member);
         try {
-            GroupInfoReply info = client.getGroupManagementApi(RaftPeerId.valueOf(member)).info(Members.GROUP);
+            GroupInfoReply info = client.getGroupManagementApi(RaftPeerId.valueOf(member)).info(Members.GROUP_ID);
             RoleInfoProto role = info.getRoleInfoProto();
-            List<String> told = info.getGroup().getPeers().stream().map(Members::shown).sorted().toList();
-            learn(told);
-            return new Standing(member, role.getSelf().getAddress().replaceAll(".*@", ""),
+            List<String> listed = info.getGroup().getPeers().stream().map(Members::nameAndAddress).sorted().toList();
+            addKnownMembers(listed);
+            return new MemberStatus(member, role.getSelf().getAddress().replaceAll(".*@", ""),
                     role.getRole().name().toLowerCase(Locale.ROOT),
                     info.getCommitInfos().stream().filter(c -> c.getServer().getId().toStringUtf8().equals(member))
                             .mapToLong(c -> c.getCommitIndex()).findFirst().orElse(-1),
-                    told);
+                    listed);
         } catch (IOException | RuntimeException e) {
-            drop(member, client);
+            discard(member, client);
             throw new IOException(e.getMessage(), e); // the library lets some of gRPC's own through
         }
     }
 
     /** Makes these the store's members, one change at a time; returns once a majority of them holds it. */
-    public void change(List<String> shown) throws IOException {
-        Members next = Members.parse(String.join(",", shown));
-        RaftClient client = client("");
+    public void changeMembers(List<String> listed) throws IOException {
+        Members next = Members.parse(String.join(",", listed));
+        RaftClient client = clientFor("");
         try {
             RaftClientReply reply = client.admin().setConfiguration(next.peers());
             if (!reply.isSuccess()) {
                 throw new IOException(String.valueOf(reply.getException()));
             }
         } catch (IOException e) {
-            drop("", client);
+            discard("", client);
             throw e;
         }
     }
 
     /** All members that are known by now, first those that this was told of. */
-    public List<String> known() {
+    public List<String> knownMembers() {
         return members.names();
     }
 
-    private synchronized void learn(Collection<String> shown) {
-        members = members.with(shown);
+    private synchronized void addKnownMembers(Collection<String> listed) {
+        members = members.plus(listed);
     }
 
     private static void pause(long ms) throws InterruptedIOException {
@@ -208,13 +208,13 @@
         }
     }
 
-    private static RaftClientReply within(CompletableFuture<RaftClientReply> reply, long ms) throws IOException {
+    private static RaftClientReply await(CompletableFuture<RaftClientReply> reply, long timeoutMs) throws IOException {
         try {
-            RaftClientReply got = reply.get(ms, TimeUnit.MILLISECONDS);
-            if (!got.isSuccess()) {
-                throw got.getException() == null ? new IOException("no answer") : got.getException();
+            RaftClientReply result = reply.get(timeoutMs, TimeUnit.MILLISECONDS);
+            if (!result.isSuccess()) {
+                throw result.getException() == null ? new IOException("no answer") : result.getException();
             }
-            return got;
+            return result;
         } catch (ExecutionException e) {
             Throwable cause = e.getCause();
             while (!(cause instanceof StateMachineException) && cause.getCause() != null) {
@@ -222,21 +222,21 @@
             }
             throw cause instanceof IOException io ? io : new IOException(String.valueOf(cause), cause);
         } catch (TimeoutException e) {
-            throw new IOException("no answer within " + ms + " ms", e);
+            throw new IOException("no answer within " + timeoutMs + " ms", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException("interrupted");
         }
     }
 
-    private synchronized RaftClient client(String member) {
+    private synchronized RaftClient clientFor(String member) {
         return clients.computeIfAbsent(member, m -> {
             RaftProperties properties = new RaftProperties();
-            RaftClientConfigKeys.Rpc.setRequestTimeout(properties, StoreMember.ms(m.isEmpty() ? boundMs : boundMs + holdMs));
+            RaftClientConfigKeys.Rpc.setRequestTimeout(properties, StoreMember.millis(m.isEmpty() ? timeoutMs : timeoutMs + maxHoldMs));
             RaftClient.Builder builder = RaftClient.newBuilder().setProperties(properties).setRaftGroup(members.group());
             if (m.isEmpty()) {
-                builder.setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(WRITE_TRIES,
-                        StoreMember.ms(WRITE_AGAIN_MS)));
+                builder.setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(MAX_WRITE_ATTEMPTS,
+                        StoreMember.millis(WRITE_RETRY_MS)));
             } else {
                 builder.setRetryPolicy(RetryPolicies.noRetry()).setLeaderId(RaftPeerId.valueOf(m));
             }
@@ -244,7 +244,7 @@
         });
     }
 
-    private void drop(String member, RaftClient failed) {
+    private void discard(String member, RaftClient failed) {
         synchronized (this) {
             clients.remove(member, failed);
         }
--- a/store/src/main/java/holdmux/store/raft/StoreMember.java
+++ b/store/src/main/java/holdmux/store/raft/StoreMember.java
@@ -5,7 +5,7 @@
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyVersion;
 import holdmux.store.Validator;
-import holdmux.store.Verdict;
+import holdmux.store.EntryResult;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -31,19 +31,19 @@
 public final class StoreMember implements Closeable {
     /** A follower that hears no leader for so long stands for election: several round trips and a busy core's pauses. */
     private static final int ELECTION_MIN_MS = 600, ELECTION_MAX_MS = 1_200;
-    private static final int REQUEST_MS = 1_000;
+    private static final int REQUEST_TIMEOUT_MS = 1_000;
     /** A snapshot each so many entries: a replay of that many takes well under a second. */
     private static final int SNAPSHOT_ENTRIES = 200;
     /** A history is some megabytes; the library's default sizes are for logs of gigabytes. */
-    private static final SizeInBytes PREALLOCATED = SizeInBytes.valueOf("64KB"), SEGMENT = SizeInBytes.valueOf("8MB");
-    private static final long CHECK_AGAIN_MS = 500;
+    private static final SizeInBytes PREALLOCATED_SIZE = SizeInBytes.valueOf("64KB"), MAX_SEGMENT_SIZE = SizeInBytes.valueOf("8MB");
+    private static final long CHECK_RETRY_MS = 500;
 
     private final String name;
-    private final PolicyStateMachine machine;
+    private final PolicyStateMachine stateMachine;
     private final RaftServer server;
     private final StoreClient client;
     private final Validator validator;
-    private final Semaphore kept = new Semaphore(1);
+    private final Semaphore versionKept = new Semaphore(1);
     private volatile boolean closed;
 
     /**
@@ -54,42 +54,42 @@
      *              vote against what it had promised
      * @throws IOException where its log cannot be read or its address is taken
      */
-    public StoreMember(String name, Members members, InetSocketAddress listen, Path folder, boolean first,
+    public StoreMember(String name, Members members, InetSocketAddress listen, Path directory, boolean bootstrap,
             Validator validator) throws IOException {
         this.name = name;
         this.validator = validator;
         ExitUtils.disableSystemExit(); // a pooler serves on without its member
         ExitUtils.setTerminateOnUncaughtException(false);
-        machine = new PolicyStateMachine(validator, kept::release);
-        boolean known = Files.isDirectory(folder.resolve(Members.GROUP.getUuid().toString()));
-        RaftGroup group = known || first ? members.group() : RaftGroup.valueOf(Members.GROUP, List.of());
-        server = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(name)).setGroup(group).setStateMachine(machine)
-                .setProperties(properties(listen, folder))
-                .setOption(known ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT).build();
+        stateMachine = new PolicyStateMachine(validator, versionKept::release);
+        boolean hasLog = Files.isDirectory(directory.resolve(Members.GROUP_ID.getUuid().toString()));
+        RaftGroup group = hasLog || bootstrap ? members.group() : RaftGroup.valueOf(Members.GROUP_ID, List.of());
+        server = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(name)).setGroup(group).setStateMachine(stateMachine)
+                .setProperties(properties(listen, directory))
+                .setOption(hasLog ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT).build();
         try {
             server.start();
         } catch (IOException | RuntimeException e) {
             server.close();
-            throw new IOException("member " + name + " cannot start on " + folder + ": " + e.getMessage(), e);
+            throw new IOException("member " + name + " cannot start on " + directory + ": " + e.getMessage(), e);
         }
-        client = new StoreClient(members, REQUEST_MS);
-        Thread checks = new Thread(this::check, "store-checks");
-        checks.setDaemon(true);
-        checks.start();
+        client = new StoreClient(members, REQUEST_TIMEOUT_MS);
+        Thread checkThread = new Thread(this::runChecks, "store-checks");
+        checkThread.setDaemon(true);
+        checkThread.start();
     }
 
-    private static RaftProperties properties(InetSocketAddress listen, Path folder) {
+    private static RaftProperties properties(InetSocketAddress listen, Path directory) {
         RaftProperties p = new RaftProperties();
         GrpcConfigKeys.Server.setHost(p, listen.getAddress().getHostAddress());
         GrpcConfigKeys.Server.setPort(p, listen.getPort());
-        RaftServerConfigKeys.setStorageDir(p, List.of(folder.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(p, ms(ELECTION_MIN_MS));
-        RaftServerConfigKeys.Rpc.setTimeoutMax(p, ms(ELECTION_MAX_MS));
-        RaftServerConfigKeys.Rpc.setRequestTimeout(p, ms(REQUEST_MS));
+        RaftServerConfigKeys.setStorageDir(p, List.of(directory.toFile()));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(p, millis(ELECTION_MIN_MS));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(p, millis(ELECTION_MAX_MS));
+        RaftServerConfigKeys.Rpc.setRequestTimeout(p, millis(REQUEST_TIMEOUT_MS));
         // entries of the library's own, each behind another, would leave every log one entry ahead of what is applied
         RaftServerConfigKeys.Log.setLogMetadataEnabled(p, false);
-        RaftServerConfigKeys.Log.setPreallocatedSize(p, PREALLOCATED);
-        RaftServerConfigKeys.Log.setSegmentSizeMax(p, SEGMENT);
+        RaftServerConfigKeys.Log.setPreallocatedSize(p, PREALLOCATED_SIZE);
+        RaftServerConfigKeys.Log.setSegmentSizeMax(p, MAX_SEGMENT_SIZE);
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(p, true);
         RaftServerConfigKeys.Log.setPurgePreservationLogNum(p, 2 * SNAPSHOT_ENTRIES); // behind the older snapshot too
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(p, true);
@@ -98,43 +98,43 @@
         return p;
     }
 
-    static TimeDuration ms(long ms) {
+    static TimeDuration millis(long ms) {
         return TimeDuration.valueOf(ms, TimeUnit.MILLISECONDS);
     }
 
     /** This member's copy of the history, which may be behind. */
     public PolicyHistory history() {
-        return machine.history();
+        return stateMachine.history();
     }
 
     /** Why this member takes no part, in words; empty while it does. */
     public String failure() {
         LifeCycle.State state = server.getLifeCycleState();
-        return !machine.failure().isEmpty() ? machine.failure()
+        return !stateMachine.failure().isEmpty() ? stateMachine.failure()
                 : state.isClosingOrClosed() || state == LifeCycle.State.EXCEPTION ? "its log has ended: " + state : "";
     }
 
     /** Tells the store what this member's program finds of each version that it has not told of yet. */
-    private void check() {
+    private void runChecks() {
         while (!closed) {
             try {
-                kept.acquire();
-                kept.drainPermits();
+                versionKept.acquire();
+                versionKept.drainPermits();
                 Optional<PolicyVersion> next;
-                while (!closed && (next = unchecked()).isPresent()) {
+                while (!closed && (next = nextUnchecked()).isPresent()) {
                     PolicyVersion version = next.get();
-                    Checked found = new Checked(version.number(), name, validator.problem(version.text()));
-                    Verdict verdict = client.write(found);
-                    if (!found.problem().isEmpty() && verdict.accepted()) {
-                        Log.warn("store: version " + version.number() + " cannot be served here: " + found.problem());
+                    Checked checked = new Checked(version.number(), name, validator.problem(version.text()));
+                    EntryResult result = client.write(checked);
+                    if (!checked.problem().isEmpty() && result.accepted()) {
+                        Log.warn("store: version " + version.number() + " cannot be served here: " + checked.problem());
                     }
-                    if (unchecked().equals(next)) {
-                        Thread.sleep(CHECK_AGAIN_MS / 10); // taken by the leader; this copy is a moment behind
+                    if (nextUnchecked().equals(next)) {
+                        Thread.sleep(CHECK_RETRY_MS / 10); // taken by the leader; this copy is a moment behind
                     }
                 }
             } catch (IOException e) {
                 pause(); // no leader now, or this member is cut off: the check is told later
-                kept.release();
+                versionKept.release();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -144,14 +144,14 @@
 
     private static void pause() {
         try {
-            Thread.sleep(CHECK_AGAIN_MS);
+            Thread.sleep(CHECK_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private Optional<PolicyVersion> unchecked() {
-        PolicyHistory now = machine.history();
+    private Optional<PolicyVersion> nextUnchecked() {
+        PolicyHistory now = stateMachine.history();
         return now.versions().stream().filter(v -> !v.isPruned()
                 && now.checks(v.number()).stream().noneMatch(c -> c.member().equals(name))).findFirst();
     }
@@ -159,7 +159,7 @@
     @Override
     public void close() throws IOException {
         closed = true;
-        kept.release();
+        versionKept.release();
         client.close();
         server.close();
     }
--- a/store/src/test/java/holdmux/store/PolicyHistoryTest.java
+++ b/store/src/test/java/holdmux/store/PolicyHistoryTest.java
@@ -58,7 +58,7 @@
                 "{\"activate\":{\"number\":1,\"delayNs\":0,\"quorum\":1,\"by\":\"" + "x".repeat(201) + "\"}}")) {
             assertThrows(IllegalArgumentException.class, () -> EntryCodec.decode(text.getBytes(StandardCharsets.UTF_8)));
         }
-        assertThrows(IllegalArgumentException.class, () -> EntryCodec.decode(new byte[EntryCodec.MOST_BYTES + 1]));
+        assertThrows(IllegalArgumentException.class, () -> EntryCodec.decode(new byte[EntryCodec.MAX_BYTES + 1]));
     }
 
     /** Two operators who start from the same version: the one applied second learns who came first. */
@@ -66,7 +66,7 @@
     void theSecondOfTwoProposalsFromOneVersionIsRefused() {
         PolicyHistory history = kept(2);
         PolicyVersion late = PolicyVersion.of(3, 1, policy(), "bob");
-        Verdict verdict = history.check(new Propose(late));
+        EntryResult verdict = history.check(new Propose(late));
         assertFalse(verdict.accepted());
         assertTrue(verdict.reason().contains("2 was kept meanwhile by a"), verdict.reason());
         assertSame(history, history.apply(new Propose(late)));
@@ -75,7 +75,7 @@
     @Test
     void aVersionThatDoesNotMatchItsChecksumIsRefused() {
         PolicyVersion torn = new PolicyVersion(1, 0, settings(), PolicyVersion.checksum(settings() + " "), "a");
-        Verdict verdict = PolicyHistory.EMPTY.check(new Propose(torn));
+        EntryResult verdict = PolicyHistory.EMPTY.check(new Propose(torn));
         assertFalse(verdict.accepted());
         assertTrue(verdict.reason().contains("checksum"), verdict.reason());
     }
@@ -86,7 +86,7 @@
         for (String text : List.of(policyWith("step-ns", 0), policyWith("balancers", "many"), "{", "[]", settings(),
                 new JSONObject(policy()).put("discovery", "a name").toString(),
                 new JSONObject(policy()).put("excluded", List.of("")).toString(),
-                policyWith("request-classes", List.of()), " ".repeat(PolicyVersion.MOST_BYTES) + policy())) {
+                policyWith("request-classes", List.of()), " ".repeat(PolicyVersion.MAX_BYTES) + policy())) {
             assertFalse(Validator.POLICY.problem(text).isEmpty(), text);
         }
         assertEquals("", Validator.POLICY.problem(new JSONObject(policy()).put("discovery", "127.0.0.1:85")
@@ -109,18 +109,18 @@
     @Test
     void oldTextsArePrunedButNeverWhatIsInForceOrNewest() {
         PolicyHistory history = kept(1).apply(new Activate(1, 0, "a", 0));
-        String large = " ".repeat(PolicyVersion.MOST_BYTES - 1);
+        String large = " ".repeat(PolicyVersion.MAX_BYTES - 1);
         for (int i = 2; i <= 40; i++) {
             history = history.apply(new Propose(PolicyVersion.of(i, i - 1, large + i % 10, "a")))
                     .apply(new Checked(i, "n1", ""));
         }
-        assertTrue(history.versions().stream().mapToLong(v -> v.text().length()).sum() <= PolicyHistory.MOST_TEXT);
+        assertTrue(history.versions().stream().mapToLong(v -> v.text().length()).sum() <= PolicyHistory.MAX_TEXT_LENGTH);
         assertFalse(history.version(1).orElseThrow().isPruned());
         assertFalse(history.version(40).orElseThrow().isPruned());
         assertTrue(history.version(2).orElseThrow().isPruned());
         assertTrue(history.check(new Activate(2, 0, "a", 0)).reason().contains("no longer kept"));
         assertTrue(history.checks().stream().noneMatch(c -> c.number() == 2), "nothing is kept of checks either");
-        assertEquals(history, Forms.history(Forms.of(history, true)), "a snapshot keeps all of it");
+        assertEquals(history, ProtoMapper.toHistory(ProtoMapper.toProto(history, true)), "a snapshot keeps all of it");
     }
 
     @Test
@@ -129,7 +129,7 @@
         assertTrue(history.active().isEmpty(), "kept is not in force");
         assertFalse(history.check(new Activate(3, 0, "a", 0)).accepted(), "not kept");
         assertFalse(history.check(new Activate(2, -1, "a", 0)).accepted(), "negative delay");
-        assertFalse(history.check(new Activate(2, PolicyHistory.MOST_DELAY_NS + 1, "a", 0))
+        assertFalse(history.check(new Activate(2, PolicyHistory.MAX_DELAY_NS + 1, "a", 0))
                 .accepted(), "too long a delay");
         history = history.apply(new Activate(2, 0, "a", 0));
         assertFalse(history.check(new Activate(2, 0, "a", 0)).accepted(), "in force already");
@@ -163,10 +163,10 @@
         }
         for (int i = 0; i < one.versions().size(); i++) {
             assertEquals(i + 1, one.versions().get(i).number(), "numbered without gaps");
-            assertTrue(one.versions().get(i).intact());
+            assertTrue(one.versions().get(i).isIntact());
         }
         for (PolicyHistory.Activation activation : one.activations()) {
-            assertTrue(activation.number() <= one.newest(), "only kept versions are activated");
+            assertTrue(activation.number() <= one.newestNumber(), "only kept versions are activated");
         }
     }
 }
--- a/store/src/test/java/holdmux/store/PolicyViewTest.java
+++ b/store/src/test/java/holdmux/store/PolicyViewTest.java
@@ -9,7 +9,7 @@
 import holdmux.store.PolicyHistory.Activation;
 import holdmux.store.PolicyView.Refuse;
 import holdmux.store.PolicyView.Serve;
-import holdmux.store.PolicyView.Standing;
+import holdmux.store.PolicyView.State;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -26,9 +26,9 @@
 
     /** The store told this, and confirmed it. */
     private static boolean heard(PolicyView view, Activation active, PolicyVersion version, long nowNs) {
-        boolean taken = view.learned(active, version, nowNs);
+        boolean taken = view.update(active, version, nowNs);
         if (taken) {
-            view.confirmed(nowNs);
+            view.confirm(nowNs);
         }
         return taken;
     }
@@ -37,38 +37,38 @@
     @Test
     void whatOneMemberTellsIsTakenButConfirmsNothing() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 0);
-        assertTrue(view.learned(new Activation(2, 0, 1, "a"), TWO, S));
-        assertEquals(new Serve(TWO, 1, S, false), view.at(S));
-        assertInstanceOf(Refuse.class, view.at(BOUND + 1));
-        view.confirmed(2 * S);
-        view.confirmed(S); // an older one, come late
-        assertEquals(new Serve(TWO, 1, BOUND - 2 * S, true), view.at(BOUND));
-        assertEquals(BOUND + 2 * S + 1, view.holdsUntil(BOUND));
+        assertTrue(view.update(new Activation(2, 0, 1, "a"), TWO, S));
+        assertEquals(new Serve(TWO, 1, S, false), view.stateAt(S));
+        assertInstanceOf(Refuse.class, view.stateAt(BOUND + 1));
+        view.confirm(2 * S);
+        view.confirm(S); // an older one, come late
+        assertEquals(new Serve(TWO, 1, BOUND - 2 * S, true), view.stateAt(BOUND));
+        assertEquals(BOUND + 2 * S + 1, view.validUntil(BOUND));
     }
 
     @Test
     void aPoolerThatCannotReachTheStoreServesItsLastGoodVersionUntilTheBound() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 100 * S);
-        assertEquals(new Serve(ONE, 0, 3 * S, false), view.at(103 * S));
-        assertEquals(new Serve(ONE, 0, BOUND, false), view.at(110 * S));
-        Refuse refuse = assertInstanceOf(Refuse.class, view.at(110 * S + 1));
+        assertEquals(new Serve(ONE, 0, 3 * S, false), view.stateAt(103 * S));
+        assertEquals(new Serve(ONE, 0, BOUND, false), view.stateAt(110 * S));
+        Refuse refuse = assertInstanceOf(Refuse.class, view.stateAt(110 * S + 1));
         assertTrue(refuse.reason().contains("over the bound of 10000 ms"), refuse.reason());
-        assertInstanceOf(Refuse.class, new PolicyView(null, 0, BOUND, 0).at(0), "nothing to serve under");
+        assertInstanceOf(Refuse.class, new PolicyView(null, 0, BOUND, 0).stateAt(0), "nothing to serve under");
     }
 
     /** A pooler cut off and started again does not get a fresh bound for each start. */
     @Test
     void aRestartDoesNotRenewTheBound() {
         PolicyView view = new PolicyView(ONE, 7 * S, BOUND, 0);
-        assertEquals(new Serve(ONE, 0, 10 * S, false), view.at(3 * S));
-        assertInstanceOf(Refuse.class, view.at(3 * S + 1));
+        assertEquals(new Serve(ONE, 0, 10 * S, false), view.stateAt(3 * S));
+        assertInstanceOf(Refuse.class, view.stateAt(3 * S + 1));
     }
 
     @Test
     void theFirstAnswerOfTheStoreCountsAtOnceWhateverItsDelay() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 0);
         assertTrue(heard(view, new Activation(2, 5 * S, 4, "a"), TWO, S));
-        assertEquals(new Serve(TWO, 4, 0, true), view.at(S));
+        assertEquals(new Serve(TWO, 4, 0, true), view.stateAt(S));
     }
 
     @Test
@@ -76,8 +76,8 @@
         PolicyView view = new PolicyView(null, 0, BOUND, 0);
         heard(view, new Activation(1, 0, 1, "a"), ONE, S);
         heard(view, new Activation(2, 3 * S, 2, "a"), TWO, 2 * S);
-        assertEquals(ONE, view.at(5 * S - 1).version());
-        assertEquals(new Serve(TWO, 2, 3 * S, true), view.at(5 * S));
+        assertEquals(ONE, view.stateAt(5 * S - 1).version());
+        assertEquals(new Serve(TWO, 2, 3 * S, true), view.stateAt(5 * S));
         assertNull(view.pending());
     }
 
@@ -85,9 +85,9 @@
     void aPoolerBackFromLongerThanTheBoundSwitchesAtOnce() {
         PolicyView view = new PolicyView(null, 0, BOUND, 0);
         heard(view, new Activation(1, 0, 1, "a"), ONE, 0);
-        assertInstanceOf(Refuse.class, view.at(BOUND + 1));
+        assertInstanceOf(Refuse.class, view.stateAt(BOUND + 1));
         heard(view, new Activation(2, 5 * S, 2, "a"), TWO, BOUND + 2);
-        assertEquals(TWO, view.at(BOUND + 2).version());
+        assertEquals(TWO, view.stateAt(BOUND + 2).version());
     }
 
     @Test
@@ -97,7 +97,7 @@
         assertFalse(heard(view, new Activation(2, 0, 1, "a"), torn, S));
         assertFalse(heard(view, new Activation(2, 0, 1, "a"), ONE, S));
         assertFalse(heard(view, new Activation(2, 0, 1, "a"), null, S));
-        assertEquals(new Serve(ONE, 0, 2 * S, false), view.at(2 * S));
+        assertEquals(new Serve(ONE, 0, 2 * S, false), view.stateAt(2 * S));
     }
 
     @Test
@@ -105,7 +105,7 @@
         PolicyView view = new PolicyView(null, 0, BOUND, 0);
         heard(view, new Activation(2, 0, 2, "a"), TWO, S);
         heard(view, new Activation(1, 0, 1, "a"), ONE, 2 * S);
-        assertEquals(TWO, view.at(2 * S).version());
+        assertEquals(TWO, view.stateAt(2 * S).version());
     }
 
     /**
@@ -164,15 +164,15 @@
                     continue;
                 }
                 if (diedAt[p] > 0) { // started again with what its file kept
-                    Standing was = views[p].at(diedAt[p] + offset[p]);
-                    views[p] = new PolicyView(views[p].newest(), was.ageNs() + now - diedAt[p], bound, local);
+                    State was = views[p].stateAt(diedAt[p] + offset[p]);
+                    views[p] = new PolicyView(views[p].newestVersion(), was.ageNs() + now - diedAt[p], bound, local);
                     diedAt[p] = 0;
                 }
                 if (now >= cutUntil[p] && random.nextInt(5) == 0) {
                     int last = committed.size() - 1;
                     heard(views[p], last < 0 ? null : committed.get(last), last < 0 ? null : versions.get(last), local);
                 }
-                Standing standing = views[p].at(local);
+                State standing = views[p].stateAt(local);
                 if (standing instanceof Serve serve) {
                     assertTrue(serve.serial() <= committed.size(), "ahead of the store");
                     long at = now;
--- a/store/src/test/java/holdmux/store/raft/StoreMemberTest.java
+++ b/store/src/test/java/holdmux/store/raft/StoreMemberTest.java
@@ -9,11 +9,11 @@
 import holdmux.standins.StandIns;
 import holdmux.store.Entry.Activate;
 import holdmux.store.Entry.Propose;
-import holdmux.store.Forms;
+import holdmux.store.ProtoMapper;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyVersion;
 import holdmux.store.Validator;
-import holdmux.store.Verdict;
+import holdmux.store.EntryResult;
 import holdmux.store.wire.Answer;
 import holdmux.store.wire.Empty;
 import holdmux.store.wire.Poll;
@@ -55,7 +55,7 @@
         all = Members.parse(listed.toString());
         for (String name : all.names()) {
             relays.put(name, new FaultRelay(all.address(name)));
-            Routes.set(name, relays.get(name).address());
+            MemberRoutes.set(name, relays.get(name).address());
         }
         for (String name : all.names()) {
             start(name, true, ANY);
@@ -97,7 +97,7 @@
         }
     }
 
-    private Verdict propose(long number, String text) throws Exception {
+    private EntryResult propose(long number, String text) throws Exception {
         return until(() -> client.write(new Propose(PolicyVersion.of(number, number - 1, text, "ana"))), v -> true);
     }
 
@@ -106,7 +106,7 @@
     }
 
     private PolicyHistory history(String member) throws IOException {
-        return Forms.history(client.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance()).build(), member)
+        return ProtoMapper.toHistory(client.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance()).build(), member)
                 .getHistory());
     }
 
@@ -124,8 +124,8 @@
         activate(1);
         for (String name : all.names()) {
             PolicyHistory history = until(() -> history(name), h -> h.active().isPresent() && h.checks(1).size() == 3);
-            assertEquals(1, history.newest());
-            assertEquals("{}", Forms.version(client.ask(poll(0, 0), name).getNews().getVersion()).text());
+            assertEquals(1, history.newestNumber());
+            assertEquals("{}", ProtoMapper.toVersion(client.ask(poll(0, 0), name).getNews().getVersion()).text());
         }
         CompletableFuture<Answer> held = CompletableFuture.supplyAsync(() -> {
             try {
@@ -149,16 +149,16 @@
         start("n2", false, ANY);
         until(() -> history("n2"), h -> h.active().isPresent());
         for (FaultRelay relay : relays.values()) {
-            relay.set(FaultRelay.Mode.RESET);
+            relay.setMode(FaultRelay.Mode.RESET);
         }
         assertThrows(IOException.class, () -> client.ask(poll(0, 0)), "nobody can confirm anything");
         for (FaultRelay relay : relays.values()) {
-            relay.set(FaultRelay.Mode.PASS);
+            relay.setMode(FaultRelay.Mode.PASS);
         }
         assertTrue(propose(2, "{\"a\":2}").accepted());
         activate(2);
         for (String name : all.names()) {
-            assertEquals(2, until(() -> history(name), h -> h.newest() == 2).newest());
+            assertEquals(2, until(() -> history(name), h -> h.newestNumber() == 2).newestNumber());
         }
     }
 
@@ -187,7 +187,7 @@
         until(() -> client.write(new Activate(1, 0, "ana", 0)), v -> true);
         assertTrue(propose(2, "{\"a\":2}").accepted());
         until(() -> history("n1"), h -> h.checks(2).stream().anyMatch(c -> c.member().equals("n3")));
-        Verdict verdict = client.write(new Activate(2, 0, "ana", 0));
+        EntryResult verdict = client.write(new Activate(2, 0, "ana", 0));
         assertFalse(verdict.accepted());
         assertTrue(verdict.reason().contains("member n3 cannot serve under version 2: older program"), verdict.reason());
     }
@@ -210,7 +210,7 @@
         bytes[bytes.length / 2] ^= 1;
         Files.write(torn, bytes);
         start("n1", false, ANY);
-        PolicyHistory whole = until(() -> history("n1"), h -> h.newest() == 130);
+        PolicyHistory whole = until(() -> history("n1"), h -> h.newestNumber() == 130);
         assertEquals(history("n2").versions(), whole.versions());
         assertTrue(Files.exists(torn.resolveSibling("unfit-" + torn.getFileName())));
     }
