--- a/pooler/src/main/java/holdmux/decision/EndReason.java
+++ b/pooler/src/main/java/holdmux/decision/EndReason.java
@@ -2,18 +2,18 @@
 
 /** Why a request was refused or failed rather than served. */
 public enum EndReason {
-    /** No server of its group could be given the request in time. */
+    /** No server of its group could take the request in time. */
     NO_SERVER,
-    /** Its time, or the time within which an answer is of use, is over. */
+    /** Its deadline, or the time within which an answer is useful, has passed. */
     TIME_OVER,
-    /** An attempt has ended, and another one is not allowed: by the request's class or by the number of attempts. */
+    /** An attempt ended, and the request's class or the limit of attempts does not allow another. */
     NOT_REPEATABLE,
-    /** Two servers answered it with an error. */
+    /** Two servers answered the request with an error. */
     SERVERS_FAILED,
-    /** This process is about to end. */
+    /** This process is shutting down. */
     PROCESS_ENDS,
-    /** Its class was dropped from the settings while it came in. */
+    /** Its class was removed from the settings while it was being received. */
     CLASS_DROPPED,
-    /** A fault of this program. */
+    /** An internal error of the pooler. */
     INTERNAL_ERROR
 }
--- a/pooler/src/main/java/holdmux/decision/Permission.java
+++ b/pooler/src/main/java/holdmux/decision/Permission.java
@@ -1,22 +1,23 @@
 package holdmux.decision;
 
-/** Whether an attempt or a probe may be written to a server now, and if not, why not. */
+/** Whether an attempt or a probe may be sent to a server now, and if not, why. */
 public enum Permission {
+    /** It may be sent. */
     ALLOWED,
-    /** The request has its final answer, or its client has gone. */
+    /** The request already has its final answer, or its client has left. */
     REQUEST_OVER,
-    /** It may have run and may not run again, or not any more: the window for repeats is over. */
+    /** It may have run and must not run again, or its deduplication window is over. */
     NOT_REPEATABLE,
-    /** The attempt's time is over. */
+    /** The attempt has timed out. */
     TIME_OVER,
-    /** Discovery has not confirmed the list of servers since the start: which of them drain is not known. */
+    /** Discovery has not confirmed the server list since the start, so draining servers are not known. */
     LIST_UNCONFIRMED,
-    /** Discovery or the operators have the server draining: it finishes what it has and takes nothing new. */
+    /** Discovery or an operator is draining the server: it finishes current work and takes no new requests. */
     SERVER_DRAINING,
-    /** Discovery has removed the server, or it is in another group by now. */
+    /** Discovery has removed the server or moved it to another group. */
     SERVER_GONE,
-    /** The server is not known to hold data as new as the request needs, or its role is in doubt. */
+    /** The server is not known to have reached the required position, or its role is uncertain. */
     DATA_TOO_OLD,
-    /** The server would not recognise a repeat that another one may have run. */
+    /** The server would not recognise a repeat of an attempt that another server may have run. */
     OUT_OF_SCOPE
 }
--- a/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
+++ b/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
@@ -1,4 +1,4 @@
-// The interface is SplitterApi.java, beside this file; the design is docs/design.md.
+// The events and actions are in SplitterApi.java beside this file; the design is in docs/design.md.
 package holdmux.decision;
 
 import holdmux.decision.SplitterApi.*;
@@ -7,97 +7,103 @@
 import java.util.function.Predicate;
 
 /**
- * Decides for one front which store of a group takes each request. It remembers each session's last-write
- * position, serves the session's reads from a replica known to have reached it, else from the primary, and
- * drops the token only once every replica has caught up. Not thread-safe; it has no clock and does no I/O.
+ * Decides for one pooler which store of a group serves each request. It keeps the position of each session's last
+ * write as a token, serves the session's reads from a replica known to have reached it, or else from the primary,
+ * and drops the token only once every replica has caught up. Not thread-safe; it has no clock and does no I/O.
  */
 public final class ReadWriteSplitter {
     private static final long MS = 1_000_000L;
 
-    /** Held requests are looked at again after this part of their wait so far; answers wake them too. */
+    /** Pending requests are rechecked after their wait so far divided by this; answers trigger a recheck too. */
     private static final long RECHECK_DIVISOR = 4;
-    /** How long a reported queue is held to be true, in tightest aims; it drains in a few service times. */
+    /** Decay time of a reported queue, in shortest latency targets; a queue drains in a few service times. */
     private static final double QUEUE_DECAY_TARGETS = 5.0 / 3;
-    /** Probes for each request that comes in: their price stays below what stale reports cost. */
+    /** Probes allowed for each request that arrives: at this rate they cost less than stale reports do. */
     private static final double PROBES_PER_REQUEST = 0.12;
-    /** Probes saved up at most, so that no burst follows a quiet spell; half is kept for what is in doubt. */
+    /** Limit of the probe budget, so that no burst follows an idle period; half is kept for uncertain stores. */
     private static final double PROBE_BURST = 16;
-    /** The shortest time between probes of one store, twice that in routine: as often as reports refresh. */
+    /** Shortest interval between probes of a store, doubled for routine probes: reports refresh this often. */
     private static final long MIN_PROBE_INTERVAL_NS = 100 * MS;
-    /** How fast the averages of a store follow: about ten answers. */
+    /** Smoothing factor of a store's moving averages: they follow about the last ten answers. */
     private static final double EWMA_ALPHA = 0.1;
-    /** Answers that the first guess of a class's time counts for: one long answer must not replace it. */
+    /** Answers that the initial latency estimate of a class counts for: one long answer must not replace it. */
     private static final int INITIAL_ESTIMATE_WEIGHT = 5;
-    /** Part of its aim that a class needs at most: beyond it none would be sent, and nothing learned. */
+    /** Upper bound of a class's base latency as a share of its target: above it, nothing would be sent or learned. */
     private static final double MAX_BASE_SHARE = 0.5;
-    /** Part of its usual load beyond which a store has no room left. */
+    /** Multiple of its usual requests in flight from which a store has no spare capacity. */
     private static final double MAX_LOAD_FACTOR = 1.5;
-    /** Work at once that says nothing of a store's load yet: any store has that many cores. */
+    /** Requests in flight that do not yet indicate load: any store has this many cores. */
     private static final double UNLOADED_CONCURRENCY = 2;
-    /** Part of its cores in use from which a store has no room: the rest is noise of the report. */
+    /** Reported CPU utilization above which a store has no spare capacity: the rest is noise of the report. */
     private static final double FULL_UTILIZATION = 0.9;
-    /** Cores that a store is taken to have when a reported queue is turned into a wait: a common size. */
+    /** Cores that a store is assumed to have when a reported queue is converted to a wait: a common size. */
     private static final double ASSUMED_CORES = 4;
-    /** A store with work out is silent after this many of its usual gaps between answers, but never sooner
-     * than this many tightest aims, the length of an ordinary pause. */
+    /** A store with requests in flight is silent after this many of its usual intervals between answers, but no
+     * sooner than after this many shortest latency targets, the length of an ordinary pause. */
     private static final double SILENCE_ANSWER_GAPS = 12, MIN_SILENCE_TARGETS = 4.0 / 3;
-    /** First rest of an ill store, in tightest aims; each further one is twice as long, up to the longest. */
+    /** First backoff of an unhealthy store, in shortest latency targets; each further one doubles, up to the limit. */
     private static final double FIRST_BACKOFF_TARGETS = 4.0 / 3;
     private static final long MAX_BACKOFF_NS = 4_000 * MS;
-    /** No process starts anew within this: what is back sooner had lost connections, but no warmth. */
+    /** No process restarts within this time: a store that is back sooner lost its connections but is still warm. */
     private static final long MIN_RESTART_NS = 1_000 * MS;
-    /** Broken connections in a row that make it ill: spoilt answers, one in 30 on bad days, seldom do. */
+    /** Consecutive resets that make a store unhealthy: corrupt answers, at times one in 30, rarely do. */
     private static final int MAX_CONSECUTIVE_RESETS = 3;
-    /** Weight of a store that is ill, where most of its group is, or that fails all: a trial now and then. */
+    /** Weight of a store that is unhealthy as most of its group is, or that fails everything: occasional trials. */
     private static final double UNHEALTHY_WEIGHT = 0.1;
-    /** Replicas asked for one read: reports differ in age, and most that seem far enough are. */
+    /** Replicas probed for one read: reports differ in age, and most replicas that seem recent enough are. */
     private static final int MAX_POSITION_PROBES = 2;
-    /** The first trial of a lagging replica after a miss; more lag waits longer. */
+    /** Shortest delay before a lagging replica is tried again after a miss; it grows with the lag. */
     private static final long MIN_TRIAL_DELAY_NS = 40 * MS;
-    /** A safe read's attempt is timed out after this many expected times, or this part of the time left. */
+    /** An idempotent request's attempt times out after the longer of this many expected latencies and this share
+     * of its remaining useful time. */
     private static final double ATTEMPT_TIMEOUT_FACTOR = 10, ATTEMPT_TIMEOUT_SHARE = 0.75;
-    /** Part of the time left that an answer may be expected to take: answers scatter about the mean. */
+    /** Share of the remaining time that an answer may be expected to take: latencies scatter about the mean. */
     private static final double MAX_EXPECTED_SHARE = 0.4;
-    /** Part of the cold budget of the rules that all fronts together plan to use, steady and in bursts. */
+    /** Shares of the permitted load of a cold store that all poolers together plan to use, steadily and in bursts. */
     private static final double COLD_STEADY_SHARE = 0.8, COLD_BURST_SHARE = 0.25;
-    /** Sessions remembered in a group; the oldest is cleared past the floor beyond that. */
+    /** Sessions kept in a group; beyond that the least recently used is dropped and the floor raised to its token. */
     private static final int MAX_SESSIONS = 20_000;
-    /** What no store has been given is not held beyond this part of its time: by measure a tenth, time for a
-     * probe's word; longer only crowds. What is worth more late than this is held on: it has the chance. */
+    /** A request that no store has received is pending for at most this share of its time, enough for a probe to
+     * answer; longer waits only take up client connections. A request whose late worth is above the second value
+     * stays pending until its time is over, since being served late still pays. */
     private static final double MAX_PENDING_SHARE = 0.1, MIN_LATE_WORTH = 0.3;
-    /** What an answer tells counts as known 100 ms after it was written, read or not; less a send's way. */
+    /** What an answer says counts as known 100 ms after the store wrote it, whether or not this pooler has read it;
+     * 25 ms are deducted for the time that the send takes. */
     private static final long ANSWER_KNOWN_NS = 75 * MS;
-    /** Kept clear of the end of a dedup window: the way to the store and its clock take time. */
+    /** Safety margin before the end of a deduplication window, for the transfer to the store and its clock. */
     private static final long DEDUP_MARGIN_NS = 50 * MS;
-    /** A list call that failed is made again after this, and up to as much again by chance. */
+    /** Delay before a failed list call is retried; a random delay of up to as much is added. */
     private static final long LIST_RETRY_NS = 1_000 * MS;
 
-    /** Spans over which the work in hand is averaged, about that of the cold rule, and for which the busiest
-     * spell is remembered, some of the longest warm-ups. */
+    /** Decay times of the average concurrency, about the window of the rule for cold stores, and of its peak,
+     * several of the longest warm-ups. */
     private static final double CONCURRENCY_AVERAGE_NS = 2_000.0 * MS, CONCURRENCY_PEAK_NS = 60_000.0 * MS;
 
+    /** Timer handles: a sweep of the open requests, and a retry of the list subscription. */
     private static final int SWEEP_TIMER = 1, SUBSCRIBE_TIMER = 2;
 
+    /** How many replicas of a group have caught up with a token. */
     private enum Verdict { NONE, ANY, ALL }
 
-    /** A session of a group: its token (0 is none), its replica, writes that are out and since when. */
+    /** A session of a group: its token (0 if none), its writes in flight and since when, and its replica. */
     private static final class Session {
         long token, writesInFlight, writesInFlightSince;
         Store replica;
     }
 
+    /** A group: its stores, pending requests and sessions. */
     private static final class Group {
         final List<Store> members = new ArrayList<>();
         final List<OpenRequest> pending = new ArrayList<>();
         final LinkedHashMap<Long, Session> sessions = new LinkedHashMap<>(16, 0.75f, true);
-        /** The latest token cleared here. */
+        /** The latest token that was dropped here; no replica behind it serves session reads. */
         long floor;
-        /** Who is believed to lead, and when that was last borne out. */
+        /** The store believed to be the primary, and when that was last confirmed. */
         Store leader;
         long leaderConfirmedAt;
     }
 
-    /** One store: what the list says, its known position, its lag by estimate, its health, its load. */
+    /** One store: what the list says, its known position, its estimated lag, its health and its load. */
     private static final class Store {
         final long id;
         Group group;
@@ -105,30 +111,30 @@
         Availability availability = Availability.READY;
         long startedAt;
         boolean listedAsWriter;
-        /** Proven: all commits up to here are applied. Never falls. */
+        /** All commits up to here are known to be applied. Never decreases. */
         long appliedPosition;
-        /** Estimate only: how far behind it seems to be, and when that was last seen. */
+        /** Estimated replication lag, when it was last observed, and when the next trial request is due. */
         long lag, lagEstimatedAt, nextTrialAt;
-        /** When an answer or a probe last denied that it leads; since when its role is in doubt, 0 if not. */
+        /** When an answer or a probe last denied that it is the primary; since when its role is uncertain, or 0. */
         long leadershipDeniedAt, roleUncertainSince;
         int inFlight;
-        /** Connections of it that broke since its last answer. */
+        /** Its connections that broke since its last answer. */
         int consecutiveResets;
         double inFlightWork;
-        /** Health: ill since when, if silent, if its process seemed down or none could connect; its rest. */
+        /** Health: whether and since when unhealthy; whether silent, its process down or unreachable; its backoff. */
         boolean unhealthy, silent, processDown, unreachable;
         long unhealthySince, backoffNs, unansweredSince, answeredAt;
-        /** Whether it has ever answered or was in the first list: others must earn their place by a probe. */
+        /** Whether it has ever answered or was in the first list; others must answer a probe before they are used. */
         boolean verified, removedFromList;
         boolean probing;
         long probedAt, probeOkAt, reportedAt;
-        /** Requests that waited there, of all fronts, by the last report. */
+        /** Requests of all poolers that were queued there, by the last report. */
         double reportedQueue;
-        /** How long answers take lately against the usual of their class, and at what load. */
+        /** Recent latency relative to the base latency of the class, and the requests in flight that go with it. */
         double latencyRatio = 1, usualInFlight = 1;
-        /** Part of its answers of late that were errors. */
+        /** Share of its recent answers that were errors. */
         double errorRate;
-        /** Since when it may be cold, and how much it has been sent since. */
+        /** While it may be cold: how much work it was sent, less what it has done since; since when; last update. */
         double coldBudgetUsed;
         long coldSince, coldBudgetAt;
 
@@ -142,20 +148,21 @@
             return availability == Availability.READY;
         }
 
-        /** When it was last asked for a report or told one. */
+        /** When it was last probed or last sent a report. */
         long lastCheckedAt() {
             return Math.max(probedAt, reportedAt);
         }
 
-        /** Part of the group for the verdict and for panic; one that is called gone and is ill is not. */
+        /** Whether it counts for the verdict and for panic; an unhealthy store that the list has removed does not. */
         boolean countsAsMember() {
             return isReady() && verified && !(removedFromList && unhealthy);
         }
     }
 
+    /** A request that has no final answer yet or still has attempts in flight. */
     private static final class OpenRequest {
         final long id;
-        /** What the request came under: these hold until its end, whatever is told meanwhile. */
+        /** Settings in force when the request arrived; they apply to it until its end. */
         final RequestClass requestClass;
         final Limits limits;
         final LatencyEstimate latency;
@@ -164,9 +171,9 @@
         final boolean advancesToken;
         final List<Attempt> attempts = new ArrayList<>(2);
         final BitSet ended = new BitSet(), retracted = new BitSet();
-        int inFlight, staleReads, positionProbes;
+        int inFlight, misses, positionProbes;
         boolean done, pending, requestAtFault, reachedStore;
-        /** The first that may have run; none but a safe request has two out, so that one was sent first. */
+        /** First ended attempt that may have run; also the first sent, as only idempotent requests have two out. */
         Attempt firstMayHaveRun;
         Store avoidStore, failedStore;
 
@@ -181,7 +188,8 @@
             arrivedAt = now;
             deadline = now + arrival.remainingNs();
             long slack = settings.stepNs() + MS;
-            long usefulUntil = requestClass.lateWorth() > 0 ? deadline : Math.min(deadline, now + requestClass.onTimeNs());
+            long usefulUntil = requestClass.lateWorth() > 0 ? deadline
+                    : Math.min(deadline, now + requestClass.onTimeNs());
             giveUpAt = usefulUntil - slack;
             long pendingLimit = now + (long) (MAX_PENDING_SHARE * arrival.remainingNs()) - slack;
             pendingUntil = requestClass.lateWorth() > MIN_LATE_WORTH ? giveUpAt : Math.min(giveUpAt, pendingLimit);
@@ -193,7 +201,7 @@
         }
     }
 
-    /** How long a class takes in quiet times, and from how many answers that is known. */
+    /** Latency of a request class without load, and the number of answers it was learned from. */
     private static final class LatencyEstimate {
         double baseNs;
         int samples;
@@ -204,7 +212,9 @@
         }
     }
 
-    private record Attempt(Store store, long sentAt, long requiredPosition, int inFlightAtSend, double work, Session session) {}
+    /** One attempt; the session is an unused one unless the request advances its session's token. */
+    private record Attempt(Store store, long sentAt, long requiredPosition, int inFlightAtSend, double work,
+            Session session) {}
 
     private Settings settings;
     private boolean storesCheckPosition, rolesReported;
@@ -214,32 +224,33 @@
     private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
     private List<LatencyEstimate> latencyEstimates = List.of();
     private double probeBudget = PROBE_BURST;
-    /** Work in hand at all stores together for this front, averaged; the peak of late for each store. */
+    /** Average work of this pooler in flight at all stores together; its recent peak per store. */
     private double averageConcurrency, peakConcurrency;
-    /** Stores that the list calls ready. */
+    /** Number of stores that the list says are ready. */
     private int readyStores;
     private long concurrencyAt;
-    /** How old a report is when it arrives, learned from primaries, which stand at the present. */
+    /** Age of a report when it arrives, learned from primaries, whose position is always current. */
     private double reportAgeNs;
     private long now;
-    /** The earliest timer that is set, and when this front last stood still. */
+    /** When the earliest timer is due, and when this process last stalled. */
     private long nextTimerAt = Long.MAX_VALUE, stalledAt;
-    /** Groups that something happened to in this batch: only their held requests are looked at. */
+    /** Groups affected by the current batch; only their pending requests are rechecked. */
     private final Set<Group> touchedGroups = new LinkedHashSet<>();
     private Consumer<Action> sink;
-    /** Times that follow the settings, since work and aims differ between deployments. */
+    /** Times derived from the settings, since work and latency targets differ between deployments. */
     private long minTimerNs, minSilenceNs, firstBackoffNs, queueDecayNs;
 
+    /** Creates a splitter; the same settings, seed and events give the same actions. */
     public ReadWriteSplitter(Settings settings, long seed) {
         random = new SplittableRandom(seed);
         applySettings(settings, Collections.nCopies(settings.classes().size(), -1));
     }
 
-    /** Takes up settings; {@code was} tells where each class stood in those before, -1 for a new one. */
+    /** Applies settings; {@code previousIndices} has each class's index in the previous ones, -1 for a new class. */
     private void applySettings(Settings settings, List<Integer> previousIndices) {
         this.settings = settings;
         storesCheckPosition = settings.guards() != Guards.OFF;
-        minTimerNs = 2 * settings.stepNs(); // the soonest that a timer is set for, in steps of the wire
+        minTimerNs = 2 * settings.stepNs(); // two time steps of the wire
         long shortestTarget = settings.classes().stream().mapToLong(RequestClass::onTimeNs).min().orElseThrow();
         minSilenceNs = (long) (MIN_SILENCE_TARGETS * shortestTarget);
         firstBackoffNs = (long) (FIRST_BACKOFF_TARGETS * shortestTarget);
@@ -247,13 +258,15 @@
         List<LatencyEstimate> estimates = new ArrayList<>();
         for (RequestClass requestClass : settings.classes()) {
             int previousIndex = previousIndices.get(estimates.size());
-            LatencyEstimate previous = previousIndex < 0 ? new LatencyEstimate(requestClass.onTimeNs() / 5.0, 0) : latencyEstimates.get(previousIndex);
-            estimates.add(new LatencyEstimate(Math.min(previous.baseNs, MAX_BASE_SHARE * requestClass.onTimeNs()), previous.samples));
+            LatencyEstimate previous = previousIndex < 0 ? new LatencyEstimate(requestClass.onTimeNs() / 5.0, 0)
+                    : latencyEstimates.get(previousIndex);
+            estimates.add(new LatencyEstimate(Math.min(previous.baseNs, MAX_BASE_SHARE * requestClass.onTimeNs()),
+                    previous.samples));
         }
         latencyEstimates = estimates;
     }
 
-    /** Takes all events of one batch, in order, and gives out the actions that answer them. */
+    /** Processes a batch of events in order and passes the resulting actions to {@code sink}. */
     public void handle(long now, List<Event> events, Consumer<Action> sink) {
         if (this.sink == null && settings.mustSubscribe()) {
             sink.accept(new Subscribe(true));
@@ -262,7 +275,8 @@
         this.sink = sink;
         boolean due = now >= nextTimerAt;
         if (due) {
-            stalledAt = now - nextTimerAt > 100 * MS ? now : stalledAt; // beyond any batch: it stood still itself
+            // later than any batch takes: this process itself was stalled
+            stalledAt = now - nextTimerAt > 100 * MS ? now : stalledAt;
             nextTimerAt = Long.MAX_VALUE;
         }
         for (Event event : events) {
@@ -293,7 +307,7 @@
         touchedGroups.clear();
     }
 
-    /** Sets a timer unless an earlier one is set; without work there is none. */
+    /** Schedules a sweep unless an earlier one is scheduled; without open requests there is none. */
     private void scheduleSweep(long atNs) {
         long soonest = Math.max(atNs, now + minTimerNs);
         if (soonest < nextTimerAt) {
@@ -302,7 +316,7 @@
         }
     }
 
-    // ---- The ordinary path: token, verdict, floor, session's replica, random pick, primary ----
+    // ---- Routing: token, verdict, floor, the session's replica, weighted random choice, primary ----
 
     private void onArrived(Arrived e) {
         probeBudget = Math.min(PROBE_BURST, probeBudget + PROBES_PER_REQUEST);
@@ -311,9 +325,10 @@
         openRequests.put(request.id, request);
         probeGroup(group);
         touchedGroups.add(group);
-        enqueue(request); // released at the end of the batch, dearest first, so that new work does not jump the queue
+        enqueue(request); // dispatched at the end of the batch by worth, so that new requests do not overtake others
     }
 
+    /** Sends a request to the store chosen for it, or leaves it pending. */
     private void dispatch(OpenRequest request) {
         Store leader = request.group.leader;
         Store store = switch (request.requestClass.consistency()) {
@@ -355,15 +370,17 @@
     }
 
     /**
-     * Whether a replica is asked for its position, which seems far enough but is not known to be: each front
-     * hears seldom of each of many replicas, and primaries have no room for all reads. Costs a probe.
+     * Whether the read waits for a probe of a replica that seems recent enough but is not known to be; starts the
+     * probe if there is none. Each pooler rarely hears from each of many replicas, and primaries have no capacity
+     * for all reads. Costs a probe.
      */
     private boolean awaitsPositionProbe(OpenRequest request, long required) {
         if (storesCheckPosition || request.positionProbes >= MAX_POSITION_PROBES) {
             return false;
         }
         Store leader = request.group.leader;
-        Predicate<Store> candidate = store -> store != leader && !store.unhealthy && now - store.lag >= required && store.appliedPosition < required;
+        Predicate<Store> candidate = store -> store != leader && !store.unhealthy && now - store.lag >= required
+                && store.appliedPosition < required;
         if (request.group.members.stream().anyMatch(store -> store.probing && candidate.test(store))) {
             return true;
         }
@@ -372,20 +389,22 @@
         return store != null && probeStore(store, true);
     }
 
-    /** What a session must see. The answer of a write that is out may be on its way, and counts so. */
+    /** The position that a session's read must see. A write in flight may already be answered, and counts as such. */
     private long sessionToken(OpenRequest request, Session session) {
-        boolean mayBeAnswered = session != null && session.writesInFlight > 0 && now - session.writesInFlightSince > ANSWER_KNOWN_NS;
+        boolean mayBeAnswered = session != null && session.writesInFlight > 0
+                && now - session.writesInFlightSince > ANSWER_KNOWN_NS;
         long own = session == null ? 0 : Math.max(session.token, mayBeAnswered ? now - ANSWER_KNOWN_NS : 0);
         return settings.remembered() ? own : request.tokenPosition;
     }
 
     private Verdict verdict(Group group, long token) {
-        List<Store> replicas = group.members.stream().filter(store -> store != group.leader && store.countsAsMember()).toList();
+        List<Store> replicas = group.members.stream()
+                .filter(store -> store != group.leader && store.countsAsMember()).toList();
         long caughtUp = replicas.stream().filter(store -> store.appliedPosition >= token).count();
         return caughtUp == 0 ? Verdict.NONE : caughtUp == replicas.size() ? Verdict.ALL : Verdict.ANY;
     }
 
-    /** The position that a read needs if it is sent now. */
+    /** The position that a store must have reached if the request is sent now. */
     private long requiredPosition(OpenRequest request) {
         return switch (request.requestClass.consistency()) {
             case SESSION -> sessionToken(request, request.group.sessions.get(request.session));
@@ -395,20 +414,22 @@
         };
     }
 
-    /** Whether a replica is known to have reached a position or, where stores check, seems to have. */
+    /** Whether a replica is known to have reached a position or, where stores check positions, seems to have. */
     private boolean hasReached(Store store, OpenRequest request, long required) {
-        boolean reachedFloor = request.requestClass.consistency() != Consistency.SESSION || store.appliedPosition >= request.group.floor;
+        boolean reachedFloor = request.requestClass.consistency() != Consistency.SESSION
+                || store.appliedPosition >= request.group.floor;
         boolean recentEnough = store.appliedPosition >= required || storesCheckPosition && now - store.lag >= required;
         return store != request.group.leader && store.group == request.group && reachedFloor && recentEnough;
     }
 
-    /** At random among those that fit, by weight; who fails fast looks idle, so errors are a burden too. */
+    /** Weighted random choice among eligible stores; a store that fails fast looks idle, so errors add to its cost. */
     private Store pickWeighted(OpenRequest request, Predicate<Store> eligible) {
         Store picked = null;
         double total = 0;
         for (Store store : request.group.members) {
             if (store != request.avoidStore && eligible.test(store) && canServeInTime(store, request)) {
-                double cost = (store.inFlightWork + request.latency.baseNs) * store.latencyRatio / Math.max(UNHEALTHY_WEIGHT, 1 - store.errorRate);
+                double cost = (store.inFlightWork + request.latency.baseNs) * store.latencyRatio
+                        / Math.max(UNHEALTHY_WEIGHT, 1 - store.errorRate);
                 double weight = (store.unhealthy ? UNHEALTHY_WEIGHT : 1) * capacityShare(store) / (cost * cost * cost);
                 total += weight;
                 if (random.nextDouble() * total < weight) {
@@ -419,27 +440,31 @@
         return picked;
     }
 
-    /** None fits: the primary if it has room beside its writes, or where stores check a rare trial. */
+    /** No replica is eligible: the primary if it has spare capacity, or a rare trial where stores check positions. */
     private Store pickFallback(OpenRequest request) {
         Store leader = request.group.leader;
         if (leader != null && hasSpareCapacity(leader) && canServeInTime(leader, request)) {
             return leader;
         }
-        boolean mayTryReplica = storesCheckPosition && request.staleReads < 2 && (leader == null || !leader.probing);
-        Predicate<Store> eligible = store -> store != leader && store.nextTrialAt <= now && canServeInTime(store, request);
+        boolean mayTryReplica = storesCheckPosition && request.misses < 2 && (leader == null || !leader.probing);
+        Predicate<Store> eligible = store -> store != leader && store.nextTrialAt <= now
+                && canServeInTime(store, request);
         Store leastLagging = !mayTryReplica ? null
-                : request.group.members.stream().filter(eligible).min(Comparator.comparingLong(store -> store.lag)).orElse(null);
+                : request.group.members.stream().filter(eligible).min(Comparator.comparingLong(store -> store.lag))
+                        .orElse(null);
         if (leastLagging != null) {
             postponeTrial(leastLagging);
         }
         return leastLagging;
     }
 
-    /** Whether a store has room beside what it must do anyway; asked first where its report is old. Guards
-     * against all fronts piling their reads on one primary; costs a probe's time where replicas lag. */
+    /** Whether a store has capacity beside what it must do anyway; it is probed first if its report is old. Keeps all
+     * poolers from sending their reads to one primary at once; costs a probe's round trip where replicas lag. */
     private boolean hasSpareCapacity(Store store) {
-        boolean awaitsReport = now - store.reportedAt > queueDecayNs && settings.queueField() >= 0 && probeStore(store, false);
-        return !awaitsReport && currentQueue(store) < 1 && store.inFlight < MAX_LOAD_FACTOR * Math.max(UNLOADED_CONCURRENCY, store.usualInFlight);
+        boolean awaitsReport = now - store.reportedAt > queueDecayNs && settings.queueField() >= 0
+                && probeStore(store, false);
+        return !awaitsReport && currentQueue(store) < 1
+                && store.inFlight < MAX_LOAD_FACTOR * Math.max(UNLOADED_CONCURRENCY, store.usualInFlight);
     }
 
     private Session getOrCreateSession(Group group, long key) {
@@ -452,7 +477,7 @@
         return session;
     }
 
-    /** All that a second process of this front must know to serve the sessions' reads. */
+    /** The floors and session tokens that a second process of this pooler needs to serve the sessions' reads. */
     public List<LastWrite> lastWrites() {
         List<LastWrite> writes = new ArrayList<>();
         groups.forEach((id, g) -> {
@@ -472,18 +497,20 @@
         }
     }
 
-    // ---- The two gates ----
+    // ---- Sends and final answers ----
 
-    /** The only way out to a store: checks the rules, then starts an attempt. */
+    /** The only place that starts attempts: checks the rules first. Returns false if the request cannot be sent. */
     private boolean send(OpenRequest request, Store store) {
         boolean mayRunNow = request.inFlight == 0 || request.limits.duplicates() && request.isIdempotent();
-        if (request.done || !canRetry(request) || !mayRunNow || !isAllowed(request, store) || !hasColdBudget(store, request.latency.baseNs)) {
+        if (request.done || !canRetry(request) || !mayRunNow || !isAllowed(request, store)
+                || !hasColdBudget(store, request.latency.baseNs)) {
             return false;
         }
         store.coldBudgetUsed += request.latency.baseNs;
         Session session = request.advancesToken ? getOrCreateSession(request.group, request.session) : new Session();
         session.writesInFlightSince = session.writesInFlight++ == 0 ? now : session.writesInFlightSince;
-        Attempt attempt = new Attempt(store, now, requiredPosition(request), store.inFlight + 1, request.latency.baseNs, session);
+        Attempt attempt = new Attempt(store, now, requiredPosition(request), store.inFlight + 1,
+                request.latency.baseNs, session);
         request.attempts.add(attempt);
         request.inFlight++;
         store.inFlight++;
@@ -496,9 +523,10 @@
         return true;
     }
 
-    /** Whether the list and the age of its data allow a request to go to a store at this moment. */
+    /** Whether the list and the age of the store's data permit sending a request to it now. */
     private Permission permission(OpenRequest request, Store store) {
-        boolean freshEnough = storesCheckPosition || store == request.group.leader && store.roleUncertainSince == 0 || store.appliedPosition >= requiredPosition(request);
+        boolean freshEnough = storesCheckPosition || store == request.group.leader && store.roleUncertainSince == 0
+                || store.appliedPosition >= requiredPosition(request);
         boolean inScope = request.firstMayHaveRun == null || request.requestClass.effect() != Effect.DEDUPLICATED
                 || request.requestClass.scope() != Scope.ZONE || store.zone == request.firstMayHaveRun.store.zone;
         if (store.group != request.group || store.availability == Availability.GONE) {
@@ -514,24 +542,26 @@
         return permission(request, store) == Permission.ALLOWED;
     }
 
-    /** Asked right before an attempt is written: its connection may have taken long to come up. */
+    /** Checks an attempt again right before it is written: its connection may have taken long to establish. */
     public Permission sendPermission(long now, long id, int attempt) {
         this.now = now;
         OpenRequest request = openRequests.get(id);
         if (request == null || request.done) {
             return Permission.REQUEST_OVER;
         }
-        return mayRunAgain(request) ? permission(request, request.attempts.get(attempt).store) : Permission.NOT_REPEATABLE;
+        return mayRunAgain(request) ? permission(request, request.attempts.get(attempt).store)
+                : Permission.NOT_REPEATABLE;
     }
 
     private long attemptTimeout(OpenRequest request, Store store) {
         long remainingNs = request.deadline - now;
         boolean waitsToDeadline = !request.isIdempotent() || request.attempts.size() >= request.limits.maxAttempts();
-        double timeoutNs = Math.max(ATTEMPT_TIMEOUT_FACTOR * expectedLatency(store, request), ATTEMPT_TIMEOUT_SHARE * (request.giveUpAt - now));
+        double timeoutNs = Math.max(ATTEMPT_TIMEOUT_FACTOR * expectedLatency(store, request),
+                ATTEMPT_TIMEOUT_SHARE * (request.giveUpAt - now));
         return waitsToDeadline ? remainingNs : Math.min(remainingNs, (long) timeoutNs);
     }
 
-    /** The only final answer of this module: refused where that is true, else failed. */
+    /** The only place that gives final answers: a refusal if trying again is harmless, else an error. */
     private void finish(OpenRequest request, EndReason reason) {
         if (request.done) {
             return;
@@ -563,7 +593,7 @@
         }
     }
 
-    // ---- Holding, releasing, giving up ----
+    // ---- Pending requests and time-outs ----
 
     private void enqueue(OpenRequest request) {
         if (!request.pending && !request.done) {
@@ -583,9 +613,10 @@
         request.group.pending.remove(request);
     }
 
-    /** Work for each unit of worth. */
+    /** Expected work per unit of worth; pending requests are dispatched in ascending order of it. */
     private double workPerWorth(OpenRequest request) {
-        double worthShare = now < request.arrivedAt + request.requestClass.onTimeNs() ? 1 : request.requestClass.lateWorth();
+        double worthShare = now < request.arrivedAt + request.requestClass.onTimeNs() ? 1
+                : request.requestClass.lateWorth();
         return request.latency.baseNs / (request.requestClass.worth() * worthShare);
     }
 
@@ -599,18 +630,20 @@
         }
     }
 
-    /** Looks at all open requests and sets the next timer; the cost follows the requests in hand. */
+    /** Checks all open requests and schedules the next sweep; its cost is proportional to their number. */
     private void sweep() {
         List<OpenRequest> requests = new ArrayList<>(openRequests.values());
         for (OpenRequest request : requests) {
-            for (int i = request.ended.nextClearBit(0); i < request.attempts.size(); i = request.ended.nextClearBit(i + 1)) {
+            for (int i = request.ended.nextClearBit(0); i < request.attempts.size();
+                    i = request.ended.nextClearBit(i + 1)) {
                 detectSilence(request.attempts.get(i).store);
             }
         }
         for (OpenRequest request : requests) {
             boolean hopeless = request.pending && request.inFlight == 0
                     && (now + request.latency.baseNs / 2 > request.giveUpAt || !canRetry(request)
-                    || !request.reachedStore && now + minTimerNs >= request.pendingUntil); // the next look would be too late
+                    // the next sweep would be too late
+                    || !request.reachedStore && now + minTimerNs >= request.pendingUntil);
             if (now >= request.giveUpAt || hopeless) {
                 finish(request, now >= request.giveUpAt ? EndReason.TIME_OVER
                         : canRetry(request) ? EndReason.NO_SERVER : EndReason.NOT_REPEATABLE);
@@ -631,20 +664,23 @@
         return mayRunAgain(request) && request.attempts.size() < request.limits.maxAttempts();
     }
 
+    /** Whether the request may be executed again after the attempts that may have run. */
     private boolean mayRunAgain(OpenRequest request) {
         return request.firstMayHaveRun == null || switch (request.requestClass.effect()) {
             case IDEMPOTENT -> true;
-            case DEDUPLICATED -> now < request.firstMayHaveRun.sentAt + request.requestClass.windowNs() - DEDUP_MARGIN_NS;
+            case DEDUPLICATED -> now < request.firstMayHaveRun.sentAt + request.requestClass.windowNs()
+                    - DEDUP_MARGIN_NS;
             case AT_MOST_ONCE -> false;
         };
     }
 
-    /** Takes repeatable work back from a store that has gone silent; what was sent since is its trial. */
+    /** Retracts repeatable attempts from stores that have gone silent; attempts sent since then are trials. */
     private void retractFromSilentStores(OpenRequest request) {
         boolean mayMove = request.requestClass.effect() != Effect.AT_MOST_ONCE && !inPanic(request.group);
         for (int i = 0; i < request.attempts.size(); i++) {
             Attempt attempt = request.attempts.get(i);
-            if (mayMove && !request.ended.get(i) && attempt.store.silent && attempt.sentAt <= attempt.store.unhealthySince) {
+            if (mayMove && !request.ended.get(i) && attempt.store.silent
+                    && attempt.sentAt <= attempt.store.unhealthySince) {
                 request.avoidStore = attempt.store;
                 retract(request, i);
             }
@@ -663,7 +699,8 @@
         request.inFlight--;
         attempt.store.inFlight--;
         attempt.store.inFlightWork -= attempt.work;
-        request.firstMayHaveRun = request.firstMayHaveRun == null && !e.outcome().neverRan ? attempt : request.firstMayHaveRun;
+        request.firstMayHaveRun = request.firstMayHaveRun == null && !e.outcome().neverRan ? attempt
+                : request.firstMayHaveRun;
         request.reachedStore |= e.outcome() != Outcome.CONNECT_FAILED && e.outcome() != Outcome.MOOT;
         touchedGroups.add(request.group);
         applyReport(attempt.store, e.report(), e.role() == Role.PRIMARY);
@@ -677,7 +714,7 @@
     }
 
     private void retryOrFinish(OpenRequest request, Attempt attempt, Outcome outcome) {
-        request.staleReads += outcome == Outcome.MISS ? 1 : 0;
+        request.misses += outcome == Outcome.MISS ? 1 : 0;
         request.avoidStore = attempt.store;
         if (request.inFlight == 0 && (now >= request.giveUpAt || !canRetry(request) || request.requestAtFault)) {
             finish(request, now >= request.giveUpAt ? EndReason.TIME_OVER
@@ -687,19 +724,19 @@
         }
     }
 
-    /** What an answer proves of positions and of the role. */
+    /** Applies what an answer proves about positions and about the store's role. */
     private void updatePositionAndRole(OpenRequest request, Attempt attempt, Answered e) {
         Store store = attempt.store;
         if (e.role() == Role.PRIMARY) {
-            markLeader(store, attempt.sentAt); // not when it came: what is on its way for long must not undo a newer denial
+            markLeader(store, attempt.sentAt); // the send time: a delayed answer must not override a newer denial
         } else if (e.role() == Role.REPLICA) {
             markNotLeader(store, now);
         }
         rolesReported |= e.role() != Role.UNKNOWN;
-        // an answer that a reset took along may have told of the role, and that counts as heard
+        // an answer lost in a reset may have stated another role, and counts as received
         boolean answerLost = (rolesReported || settings.primaryField() >= 0) && e.outcome() == Outcome.RESET;
         store.roleUncertainSince = e.role() != Role.UNKNOWN ? 0 : answerLost ? now : store.roleUncertainSince;
-        if (e.positionNs() > 0 && e.positionNs() <= now + MS) { // commits are rounded up
+        if (e.positionNs() > 0 && e.positionNs() <= now + MS) { // reported positions are rounded up
             store.appliedPosition = Math.max(store.appliedPosition, e.positionNs());
             if (e.role() == Role.REPLICA) {
                 setLag(store, Math.max(0, now - e.positionNs()));
@@ -709,7 +746,7 @@
         if (request.advancesToken && !e.outcome().neverRan) {
             Session session = getOrCreateSession(request.group, request.session);
             boolean positionReported = e.outcome() == Outcome.OK && e.positionNs() > 0;
-            // where its answer was not heard it may have taken effect, and been told, up to now
+            // without an answer, the write may have committed and been acknowledged at any time until now
             session.token = Math.max(session.token, positionReported ? e.positionNs() : now + MS);
         }
         if (request.requestClass.consistency() == Consistency.WRITE || !storesCheckPosition) {
@@ -760,19 +797,20 @@
                 }
                 store.backoffNs = Math.max(firstBackoffNs, store.backoffNs / 2);
                 if (request.failedStore != null && request.failedStore != store) {
-                    markUnhealthy(request.failedStore); // it failed what another store served
+                    markUnhealthy(request.failedStore); // it failed a request that another store served
                 }
             }
             case MISS, FULL -> markHealthy(store);
             case ERROR -> {
-                // two errors accuse the request, not the stores: bad requests must not eject them
+                // errors from two stores are the request's fault: invalid requests must not eject stores
                 store.unansweredSince = now;
                 request.requestAtFault = request.failedStore != null;
                 request.failedStore = store;
             }
             case TIMEOUT -> {
                 if (attempt.sentAt > stalledAt) {
-                    store.latencyRatio += EWMA_ALPHA * Math.max(0, e.latencyNs() / request.latency.baseNs - store.latencyRatio);
+                    store.latencyRatio += EWMA_ALPHA
+                            * Math.max(0, e.latencyNs() / request.latency.baseNs - store.latencyRatio);
                 }
                 if (store.answeredAt < attempt.sentAt && attempt.sentAt > stalledAt) {
                     markUnhealthy(store);
@@ -790,15 +828,16 @@
     }
 
     private void markHealthy(Store store) {
-        store.coldSince = store.unhealthy && store.processDown && now - store.unhealthySince > MIN_RESTART_NS ? now : store.coldSince;
+        store.coldSince = store.unhealthy && store.processDown && now - store.unhealthySince > MIN_RESTART_NS ? now
+                : store.coldSince;
         store.unhealthy = store.silent = store.processDown = store.unreachable = false;
         store.verified = true;
         store.answeredAt = store.unansweredSince = now;
         store.consecutiveResets = 0;
     }
 
-    /** One connection broke, spoilt or closed when idle or with its process: only some with no answer between
-     * make a store ill, and cold only if it stays so for a while. Costs attempts at one that is down. */
+    /** A connection broke: a corrupt answer, an idle close or the end of the process. Only several without an answer
+     * in between make a store unhealthy, and cold only if that lasts. Costs some attempts at a store that is down. */
     private void onConnectionReset(Store store) {
         store.consecutiveResets++;
         if (store.consecutiveResets >= MAX_CONSECUTIVE_RESETS || store.unhealthy) {
@@ -806,8 +845,8 @@
         }
     }
 
-    /** The one judgement of a store: silence, lost answers, refused connects, resets, failed probes, errors
-     * that others did not make. An ill store rests, then must answer a probe, then gets one trial. */
+    /** The only place that ejects a store: for silence, lost answers, refused connects, resets, failed probes, or
+     * errors that other stores did not make. An unhealthy store backs off, must answer a probe, then gets one trial. */
     private void markUnhealthy(Store store) {
         if (!store.unhealthy) {
             store.unhealthy = true;
@@ -819,55 +858,66 @@
         store.backoffNs = store == store.group.leader ? firstBackoffNs : Math.min(MAX_BACKOFF_NS, 2 * store.backoffNs);
     }
 
-    /** Learns how long a class takes in quiet times, and how much longer this store takes now. */
+    /** Learns the latency of a class without load, and how much longer this store takes now. */
     private void updateLatency(Store store, OpenRequest request, long latency, int inFlightAtSend) {
         LatencyEstimate estimate = request.latency;
         store.latencyRatio += EWMA_ALPHA * (latency / estimate.baseNs - store.latencyRatio);
         store.usualInFlight += EWMA_ALPHA * (inFlightAtSend - store.usualInFlight);
-        // chosen by load at the send, never by the outcome: lucky answers alone would drag the figure down
+        // samples are selected by the load at the send, not by the outcome: fast answers alone would bias the estimate
         if (inFlightAtSend <= UNLOADED_CONCURRENCY && store.reportedQueue < 1) {
-            estimate.baseNs += Math.max(EWMA_ALPHA / 10, 1.0 / (INITIAL_ESTIMATE_WEIGHT + ++estimate.samples)) * (latency - estimate.baseNs);
+            estimate.baseNs += Math.max(EWMA_ALPHA / 10, 1.0 / (INITIAL_ESTIMATE_WEIGHT + ++estimate.samples))
+                    * (latency - estimate.baseNs);
             estimate.baseNs = Math.min(estimate.baseNs, MAX_BASE_SHARE * request.requestClass.onTimeNs());
         }
-        averageConcurrency = averageConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_AVERAGE_NS) + estimate.baseNs / CONCURRENCY_AVERAGE_NS;
-        peakConcurrency = Math.max(peakConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_PEAK_NS), averageConcurrency / Math.max(1, readyStores));
+        averageConcurrency = averageConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_AVERAGE_NS)
+                + estimate.baseNs / CONCURRENCY_AVERAGE_NS;
+        peakConcurrency = Math.max(peakConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_PEAK_NS),
+                averageConcurrency / Math.max(1, readyStores));
         concurrencyAt = now;
     }
 
-    /** The reported queue, which says less the older it is. */
+    /** The reported queue, discounted by the age of the report. */
     private double currentQueue(Store store) {
-        return store.reportedQueue == 0 ? 0 : store.reportedQueue * Math.exp(-(now - store.reportedAt) / (double) queueDecayNs);
+        return store.reportedQueue == 0 ? 0
+                : store.reportedQueue * Math.exp(-(now - store.reportedAt) / (double) queueDecayNs);
     }
 
     private double expectedLatency(Store store, OpenRequest request) {
-        return request.latency.baseNs * Math.max(1, store.latencyRatio * (store.inFlight + 1) / Math.max(UNLOADED_CONCURRENCY, store.usualInFlight));
+        return request.latency.baseNs * Math.max(1,
+                store.latencyRatio * (store.inFlight + 1) / Math.max(UNLOADED_CONCURRENCY, store.usualInFlight));
     }
 
-    /** Whether a store can be expected to answer in time. Guards against queues that make all late, from
-     * overload, slow machines or other fronts; refuses too much where answer times scatter widely. */
+    /** Whether a store can be expected to answer in time. Prevents queues that make all requests late, caused by
+     * overload, slow machines or other poolers; refuses too much where latencies scatter widely. */
     private boolean canServeInTime(Store store, OpenRequest request) {
         if (!store.isReady() || !store.verified || !hasColdBudget(store, request.latency.baseNs)) {
             return false;
         }
-        if (store.unhealthy && (store.unreachable || !inPanic(request.group))) { // what cannot be reached is no use, whatever the others do
-            return store.inFlight == 0 && store.nextTrialAt <= now && (store.probeOkAt >= store.unhealthySince || !settings.limits().probes());
+        // a store that cannot be reached is of no use even in panic
+        if (store.unhealthy && (store.unreachable || !inPanic(request.group))) {
+            return store.inFlight == 0 && store.nextTrialAt <= now
+                    && (store.probeOkAt >= store.unhealthySince || !settings.limits().probes());
         }
         long targetAt = request.arrivedAt + request.requestClass.onTimeNs();
-        // a late request takes what is left over: it must not build a queue that makes others late too
-        long remainingNs = Math.min(now < targetAt ? targetAt - now : request.requestClass.onTimeNs(), request.giveUpAt - now);
-        boolean lightlyLoaded = store.inFlight == 0 || currentQueue(store) < 1 && store.inFlight < 2 * UNLOADED_CONCURRENCY;
+        // a late request only uses spare capacity: it must not build a queue that makes others late too
+        long remainingNs = Math.min(now < targetAt ? targetAt - now : request.requestClass.onTimeNs(),
+                request.giveUpAt - now);
+        boolean lightlyLoaded = store.inFlight == 0
+                || currentQueue(store) < 1 && store.inFlight < 2 * UNLOADED_CONCURRENCY;
         double queueWait = currentQueue(store) * request.latency.baseNs / ASSUMED_CORES;
-        return lightlyLoaded ? queueWait + request.latency.baseNs <= remainingNs : queueWait + expectedLatency(store, request) <= MAX_EXPECTED_SHARE * remainingNs;
+        return lightlyLoaded ? queueWait + request.latency.baseNs <= remainingNs
+                : queueWait + expectedLatency(store, request) <= MAX_EXPECTED_SHARE * remainingNs;
     }
 
-    /** Most of a group looks ill: the load or this front is to blame, and ejecting would only add to it. */
+    /** Whether most of a group looks unhealthy: the load or this pooler is the cause, and ejecting would add to it. */
     private boolean inPanic(Group group) {
-        return group.members.stream().filter(Store::countsAsMember).mapToInt(store -> store.unhealthy ? 1 : -1).sum() > 0;
+        return group.members.stream().filter(Store::countsAsMember).mapToInt(store -> store.unhealthy ? 1 : -1)
+                .sum() > 0;
     }
 
-    // ---- Cold stores ----
+    // ---- Slow start of cold stores ----
 
-    /** Part of its full capacity that a store has at least; 1 once it is warm. */
+    /** Share of its full capacity that a store has at least; 1 once it is warm. */
     private double capacityShare(Store store) {
         long age = now - store.coldSince;
         if (store.coldSince == 0 || age >= settings.rules().rampNs()) {
@@ -877,32 +927,36 @@
         return coldShare + (1 - coldShare) * Math.max(0, age) / settings.rules().rampNs();
     }
 
-    /** Whether a store that may be cold can take so much more work now; always true of a warm one. */
+    /** Whether a store that may be cold can take this much more work now; always true of a warm one. */
     private boolean hasColdBudget(Store store, double work) {
         double share = capacityShare(store);
         if (share >= 1) {
             return true;
         }
         double rate = settings.rules().overloadFactor() * share * usualConcurrency();
-        // a spell starts at a random point of one request's span: a hundred fronts must not all send at once
+        // a cold period starts at a random level below one request's work: a hundred poolers must not all send at once
         double remainingUse = store.coldBudgetUsed - COLD_STEADY_SHARE * rate * (now - store.coldBudgetAt);
-        store.coldBudgetUsed = store.coldBudgetAt < store.coldSince ? random.nextDouble() * work : Math.max(0, remainingUse);
+        store.coldBudgetUsed = store.coldBudgetAt < store.coldSince ? random.nextDouble() * work
+                : Math.max(0, remainingUse);
         store.coldBudgetAt = now;
-        return store.coldBudgetUsed == 0 || store.coldBudgetUsed + work <= COLD_BURST_SHARE * rate * settings.rules().fallNs();
+        return store.coldBudgetUsed == 0
+                || store.coldBudgetUsed + work <= COLD_BURST_SHARE * rate * settings.rules().fallNs();
     }
 
-    /** Work per time that this front sends to a busy store, by the peak of late: what cold ones may not take
-     * must not lower what they may take next. At least its share of most of the cores of a store. */
+    /** Concurrency that this pooler sends to a busy store, by its recent peak: work withheld from cold stores must
+     * not lower what they may take next. At least its share of most of the cores of a store. */
     private double usualConcurrency() {
-        return Math.max(peakConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_PEAK_NS), 0.6 * ASSUMED_CORES / settings.balancers());
+        return Math.max(peakConcurrency * Math.exp(-(now - concurrencyAt) / CONCURRENCY_PEAK_NS),
+                0.6 * ASSUMED_CORES / settings.balancers());
     }
 
     // ---- Probes, timers and the list ----
 
-    /** Guards against hung, vanished or cut-off stores: work out, no answer. May hurt on a lone long read. */
+    /** Detects hung, vanished or partitioned stores: requests in flight, no answer. May misjudge a lone long read. */
     private void detectSilence(Store store) {
         if (store.inFlight > 0 && !store.silent && store.unansweredSince > 0) {
-            double gap = store.inFlightWork / store.inFlight * Math.max(1, store.latencyRatio) / Math.max(1, Math.min(store.inFlight, store.usualInFlight));
+            double gap = store.inFlightWork / store.inFlight * Math.max(1, store.latencyRatio)
+                    / Math.max(1, Math.min(store.inFlight, store.usualInFlight));
             long since = Math.max(stalledAt, store.unansweredSince);
             if (now - since > Math.max(minSilenceNs, SILENCE_ANSWER_GAPS * gap)) {
                 markUnhealthy(store);
@@ -912,27 +966,31 @@
         }
     }
 
-    /** Probes follow requests: each in turn of a group that has no leader, and the one longest unseen. */
+    /** Probes on behalf of a request: uncertain stores in turn, all of them if the group has no leader, and the store
+     * that was checked the longest time ago. */
     private void probeGroup(Group group) {
         boolean leaderUnavailable = group.leader == null || group.leader.unhealthy || !group.leader.isReady();
         Store leastRecentlyChecked = null;
         Store uncertain = null;
         for (Store store : group.members) {
-            if ((leaderUnavailable || store.unhealthy || !store.verified || store.roleUncertainSince > 0) && store.nextTrialAt <= now) {
+            if ((leaderUnavailable || store.unhealthy || !store.verified || store.roleUncertainSince > 0)
+                    && store.nextTrialAt <= now) {
                 uncertain = uncertain == null || store.probedAt < uncertain.probedAt ? store : uncertain;
-            } else if (store.isReady() && !store.probing && (leastRecentlyChecked == null || store.lastCheckedAt() < leastRecentlyChecked.lastCheckedAt())) {
+            } else if (store.isReady() && !store.probing && (leastRecentlyChecked == null
+                    || store.lastCheckedAt() < leastRecentlyChecked.lastCheckedAt())) {
                 leastRecentlyChecked = store;
             }
         }
         if (uncertain != null) {
             probeStore(uncertain, !uncertain.verified);
         }
-        if (leastRecentlyChecked != null && now - leastRecentlyChecked.lastCheckedAt() >= 2 * MIN_PROBE_INTERVAL_NS && probeBudget > PROBE_BURST / 2) {
+        if (leastRecentlyChecked != null && now - leastRecentlyChecked.lastCheckedAt() >= 2 * MIN_PROBE_INTERVAL_NS
+                && probeBudget > PROBE_BURST / 2) {
             probeStore(leastRecentlyChecked, false);
         }
     }
 
-    /** Probes a store if due and paid for, or urgent; whether its answer is under way or has just come. */
+    /** Probes a store if a probe is due and within budget or urgent. Returns whether one is in flight or was recent. */
     private boolean probeStore(Store store, boolean urgent) {
         boolean due = store.isReady() && !store.probing && now - store.probedAt >= MIN_PROBE_INTERVAL_NS;
         if (due && settings.limits().probes() && (urgent || probeBudget >= 1)) {
@@ -965,7 +1023,7 @@
         }
     }
 
-    /** What a report says; nothing if not whole or ahead of time, nor of roles beside a primary's answer. */
+    /** Applies a load report unless it is incomplete or ahead of time; a primary's answer overrides the role in it. */
     private void applyReport(Store store, float[] report, boolean fromLeader) {
         int lastField = Math.max(settings.positionField(), settings.primaryField());
         if (settings.positionField() < 0 || report.length <= lastField) {
@@ -988,7 +1046,8 @@
             store.roleUncertainSince = position >= store.roleUncertainSince ? 0 : store.roleUncertainSince;
         } else if (!fromLeader) {
             markNotLeader(store, now - 2 * (long) reportAgeNs);
-            store.roleUncertainSince = store.group.leader == store ? now : 0; // older than its own word, or newer: it is asked
+            // the report may be older or newer than the store's own statement: it must confirm its role
+            store.roleUncertainSince = store.group.leader == store ? now : 0;
             if (store.lagEstimatedAt < now - reportAgeNs) {
                 setLag(store, Math.max(0, now - position - (long) reportAgeNs));
             }
@@ -1032,7 +1091,8 @@
             store.startedAt = listing.startedAt();
             store.coldSince = listing.startedAt();
         }
-        boolean newlyNamedWriter = listing.writer() && !store.listedAsWriter && group.leader == null && store.leadershipDeniedAt == 0;
+        boolean newlyNamedWriter = listing.writer() && !store.listedAsWriter && group.leader == null
+                && store.leadershipDeniedAt == 0;
         store.listedAsWriter = listing.writer();
         group.leader = newlyNamedWriter && settings.showsRole() ? store : group.leader;
         if (!store.isReady() && group.leader == store) {
@@ -1040,6 +1100,7 @@
         }
     }
 
+    /** The list has removed a store; where that is only advice, it stays in use but is no member while unhealthy. */
     private void markRemoved(Store store) {
         store.removedFromList = true;
         if (settings.rules().goneIsAdvice()) {
