--- a/pooler/src/test/java/holdmux/decision/FleetTest.java
+++ b/pooler/src/test/java/holdmux/decision/FleetTest.java
@@ -1,12 +1,12 @@
 package holdmux.decision;
 
-import static holdmux.decision.SplitterFixture.ANY;
+import static holdmux.decision.SplitterFixture.ANY_READ;
+import static holdmux.decision.SplitterFixture.BOUNDED_READ;
 import static holdmux.decision.SplitterFixture.MS;
-import static holdmux.decision.SplitterFixture.VIEW;
-import static holdmux.decision.SplitterFixture.request;
-import static holdmux.decision.SplitterFixture.sends;
-import static holdmux.decision.SplitterFixture.sentTo;
+import static holdmux.decision.SplitterFixture.arrival;
+import static holdmux.decision.SplitterFixture.lastTarget;
 import static holdmux.decision.SplitterFixture.settings;
+import static holdmux.decision.SplitterFixture.transmits;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,7 +20,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What many fronts do that each see a small part of the requests: what one learns alone comes late or never. */
+/** Behaviour of many poolers that each see a small part of the requests and so learn little by themselves. */
 class FleetTest {
     private static SplitterFixture fixture() {
         return new SplitterFixture(settings(Guards.OFF, true), 5).withThreeStores();
@@ -30,39 +30,39 @@
         return actions.stream().filter(Inspect.class::isInstance).map(a -> ((Inspect) a).store()).toList();
     }
 
-    /** Guards against refusing reads beside idle replicas, or piling them on primaries, where positions are seldom heard. */
+    /** Positions are rarely reported to each of many poolers: reads must not be refused or all go to the primary. */
     @Test
     void readProbesAReplicaWithAnOutdatedPositionAndGoesThere() {
         SplitterFixture f = fixture();
         f.advance(5, f.probeOk(1, 0, true), f.probeOk(2, 10, false), f.probeOk(3, 10, false));
-        List<Action> out = f.advance(5_000, request(1, VIEW, 0));
-        assertEquals(0, sentTo(out));
+        List<Action> out = f.advance(5_000, arrival(1, BOUNDED_READ, 0));
+        assertEquals(0, lastTarget(out));
         long store = probedStores(out).stream().filter(s -> s != 1).findFirst().orElseThrow();
-        assertEquals(store, sentTo(f.advance(2, f.probeOk(store, 10, false))));
+        assertEquals(store, lastTarget(f.advance(2, f.probeOk(store, 10, false))));
     }
 
-    /** Guards against probes without end for one read: each is paid by all fronts together. */
+    /** One read must not cause an unlimited number of probes, whose cost all poolers share. */
     @Test
     void readProbesFewReplicasAndThenTakesThePrimary() {
         SplitterFixture f = fixture();
         f.advance(0, new ListChanged(ListMode.DELTA, 2, LongStream.range(4, 8)
-                .mapToObj(s -> SplitterFixture.line(s, false, 0, Availability.READY)).toList()));
+                .mapToObj(s -> SplitterFixture.listing(s, false, 0, Availability.READY)).toList()));
         f.advance(5, f.probeOk(1, 0, true), f.probeOk(2, 10, false), f.probeOk(3, 10, false), f.probeOk(4, 10, false),
                 f.probeOk(5, 10, false), f.probeOk(6, 10, false), f.probeOk(7, 10, false));
-        assertEquals(1, f.sentToAfterProbes(5_000, request(1, VIEW, 0)));
-        long asked = probedStores(f.actions).stream().filter(s -> s != 1).count();
-        assertTrue(asked <= 3, asked + ": two for the read, and the routine's");
+        assertEquals(1, f.sentToAfterProbes(5_000, arrival(1, BOUNDED_READ, 0)));
+        long probes = probedStores(f.actions).stream().filter(s -> s != 1).count();
+        assertTrue(probes <= 3, probes + ": two for the read and a routine probe");
     }
 
-    /** Guards against a replica that is known to lag far behind being asked again and again. */
+    /** A replica known to be far behind must not be probed for every read. */
     @Test
     void laggingReplicaIsNotProbed() {
         SplitterFixture f = fixture();
         f.advance(5, f.probeOk(1, 0, true), f.probeOk(2, 9_000, false), f.probeOk(3, 9_000, false));
-        assertEquals(1, sentTo(f.advance(20, request(1, VIEW, 0))));
+        assertEquals(1, lastTarget(f.advance(20, arrival(1, BOUNDED_READ, 0))));
     }
 
-    /** Guards against one that fails at once drawing the reads of a busy group since it always looks idle. */
+    /** A store that fails immediately always looks idle: it must not attract the reads of a busy group. */
     @Test
     void fastFailingStoreIsRarelyPicked() {
         SplitterFixture f = fixture();
@@ -71,31 +71,32 @@
             f.advance(5, f.probeOk(2, 10, false), f.probeOk(3, 10, false));
             List<Event> served = new ArrayList<>();
             for (long read = id; read < id + 4; read++) {
-                long store = sentTo(f.advance(1, request(read, ANY, 0)));
+                long store = lastTarget(f.advance(1, arrival(read, ANY_READ, 0)));
                 if (store == 2) {
-                    // at once; one in five is served, so that the store is never ill for long
+                    // answers at once; one in five succeeds, so that the store is never unhealthy for long
                     Outcome outcome = ++toBad % 5 == 0 ? Outcome.OK : Outcome.ERROR;
                     List<Action> again = f.advance(1, f.answered(read, 0, 2, outcome, Role.REPLICA, 0));
                     f.advance(0, new ClientLeft(read));
-                    sends(again).forEach(t -> f.advance(1, f.answered(t.id(), 1, t.store(), Outcome.CANCELLED, Role.UNKNOWN, 0)));
+                    transmits(again).forEach(t -> f.advance(1, f.answered(t.id(), 1, t.store(), Outcome.CANCELLED, Role.UNKNOWN, 0)));
                 } else if (store != 0) {
                     served.add(new Answered(read, store, 0, true, Outcome.OK, 50 * MS, Role.UNKNOWN, 0, new float[0]));
                 }
             }
             f.advance(45, served.toArray(Event[]::new));
         }
-        assertTrue(toBad < 100, toBad + " of 160 to the store that fails");
+        assertTrue(toBad < 100, toBad + " of 160 went to the failing store");
     }
 
     /**
-     * Fourteen fronts and a group of which two stores have just started. Guards against both ends: the sum of what they
-     * send a cold store passing the rule, and cold stores standing idle while reads are refused.
+     * Fourteen poolers and a group of which two stores have just started. The sum of their requests must not overload a
+     * cold store, and cold stores must not idle while reads are refused.
      */
     @Test
     void fourteenPoolersFillAColdStoreWithoutOverloadingIt() {
         List<SplitterFixture> all = LongStream.range(0, 14).mapToObj(seed -> SplitterFixture.oneOfMany(14, seed)).toList();
         all.forEach(f -> f.advance(0, new ListChanged(ListMode.DELTA, 2, List.of(
-                SplitterFixture.line(2, false, f.now, Availability.READY), SplitterFixture.line(3, false, f.now, Availability.READY)))));
+                SplitterFixture.listing(2, false, f.now, Availability.READY),
+                SplitterFixture.listing(3, false, f.now, Availability.READY)))));
         long workMs = 60;
         int stepMs = 70;
         int steps = 170;
@@ -104,8 +105,8 @@
         long id = 0;
         for (int step = 0; step < steps; step++) {
             for (SplitterFixture f : all) {
-                // together the fronts have work for the twelve cores of three warm stores
-                long store = sentTo(f.advance(stepMs, f.probeOk(1, 0, true), request(++id, ANY, 0)));
+                // together the poolers have work for the twelve cores of three warm stores
+                long store = lastTarget(f.advance(stepMs, f.probeOk(1, 0, true), arrival(++id, ANY_READ, 0)));
                 if (store != 0) {
                     sent[step] += store == 2 ? workMs : 0;
                     f.advance(0, new Answered(id, store, 0, true, Outcome.OK, workMs * MS, Role.UNKNOWN, 0, new float[0]));
@@ -116,39 +117,39 @@
         double most = 0;
         double total = 0;
         for (int from = 0; from + window < steps; from++) {
-            // four cores, from the cold share up to all of them over the ramp
+            // four cores, rising from the cold share to all of them over the ramp time
             double middle = (from + window / 2.0) * stepMs / 17_000;
             double part = Arrays.stream(sent, from, from + window).sum() / (4 * stepMs * window * (0.15 + 0.85 * middle));
             most = Math.max(most, part);
             total += part;
         }
         double usual = total / (steps - window);
-        assertTrue(most < settings(Guards.OFF, true).rules().overloadFactor(), most + " times its capacity in one window");
-        assertTrue(usual > 1.5, "only " + usual + " of its capacity in the usual window");
+        assertTrue(most < settings(Guards.OFF, true).rules().overloadFactor(), most + " times its capacity in a window");
+        assertTrue(usual > 1.5, "only " + usual + " times its capacity in the average window");
     }
 
-    /** Guards against new stores left out for want of a probe where waiting reads have spent the routine budget. */
+    /** A new store must be probed even if pending reads have spent the budget of routine probes. */
     @Test
     void newStoreIsProbedWhenTheProbeBudgetIsSpent() {
         SplitterFixture f = fixture();
         f.advance(5, f.probeOk(1, 0, true));
         for (int i = 1; i < 80; i++) {
-            // what it tells is old by the next read, which asks again
-            List<Event> told = new ArrayList<>();
-            probedStores(f.advance(250, request(i, VIEW, 0))).forEach(store -> told.add(f.probeOk(store, 0, store == 1)));
-            long sent = sentTo(f.advance(1, told.toArray(Event[]::new)));
+            // the report is outdated by the next read, which probes again
+            List<Event> reports = new ArrayList<>();
+            probedStores(f.advance(250, arrival(i, BOUNDED_READ, 0))).forEach(store -> reports.add(f.probeOk(store, 0, store == 1)));
+            long sent = lastTarget(f.advance(1, reports.toArray(Event[]::new)));
             f.advance(1, f.answered(i, 0, sent, Outcome.OK, Role.UNKNOWN, 0));
         }
-        f.advance(0, new ListChanged(ListMode.DELTA, 2, List.of(SplitterFixture.line(4, false, 0, Availability.READY))));
-        assertTrue(probedStores(f.advance(1, request(100, VIEW, 0))).contains(4L));
+        f.advance(0, new ListChanged(ListMode.DELTA, 2, List.of(SplitterFixture.listing(4, false, 0, Availability.READY))));
+        assertTrue(probedStores(f.advance(1, arrival(100, BOUNDED_READ, 0))).contains(4L));
     }
 
     private record Due(long at, long id, long store) {}
 
     /**
-     * How many requests of mean work beyond what the rule puts down to chance one cold store gets from so many fronts at
-     * worst, in any span of the rule; negative where it stays under. Four of a group's six are started at once. One front has a fifth of all traffic, a quarter has
-     * hardly any, a third was started with the store and knows of no load yet, and each sees its arrivals by chance.
+     * The largest excess of requests that a cold store gets over the random fluctuation permitted in any window of the
+     * rule; negative if there is none. Four of a group's six stores start at once. One pooler has a fifth of all traffic, a
+     * quarter of them have hardly any, a third start with the store and know no load yet; arrivals are random.
      */
     private static double excessOverLimit(int poolers, long seed) {
         int stores = 6;
@@ -156,7 +157,7 @@
         double cores = 4;
         Settings settings = settings(Guards.OFF, true);
         SplittableRandom random = new SplittableRandom(seed);
-        double perStep = 0.9 * stores * cores / workMs * 5; // in 5 ms, for the fleet
+        double perStep = 0.9 * stores * cores / workMs * 5; // requests in 5 ms, of all poolers
         double[] share = new double[poolers];
         for (int i = 0; i < poolers; i++) {
             share[i] = i == 0 ? 0.2 : 0.8 / poolers * (i % 4 == 0 ? 0.1 : 0.5 + random.nextDouble());
@@ -164,7 +165,8 @@
         double all = Arrays.stream(share).sum();
         List<SplitterFixture> fixtures = new ArrayList<>();
         List<PriorityQueue<Due>> inFlight = new ArrayList<>();
-        List<Listing> warm = LongStream.rangeClosed(1, stores).mapToObj(s -> SplitterFixture.line(s, s == 1, 0, Availability.READY)).toList();
+        List<Listing> warm = LongStream.rangeClosed(1, stores)
+                .mapToObj(s -> SplitterFixture.listing(s, s == 1, 0, Availability.READY)).toList();
         for (int i = 0; i < poolers; i++) {
             fixtures.add(SplitterFixture.oneOfMany(poolers, seed * 1_000 + i));
             inFlight.add(new PriorityQueue<>(Comparator.comparingLong(Due::at)));
@@ -187,7 +189,7 @@
                     }
                     long startedAt = f.now;
                     f.advance(0, new ListChanged(ListMode.DELTA, 3, LongStream.rangeClosed(2, 5)
-                            .mapToObj(s -> SplitterFixture.line(s, false, startedAt, Availability.READY)).toList()));
+                            .mapToObj(s -> SplitterFixture.listing(s, false, startedAt, Availability.READY)).toList()));
                 }
                 f.now += 5 * MS;
                 List<Event> events = new ArrayList<>();
@@ -197,13 +199,13 @@
                 }
                 double left = perStep * share[i] / all;
                 for (; random.nextDouble() < left; left -= 1) { // at most one or two in 5 ms
-                    events.add(request(++id, ANY, 0));
+                    events.add(arrival(++id, ANY_READ, 0));
                 }
                 if (events.isEmpty()) {
                     continue;
                 }
                 f.actions.clear();
-                for (Transmit t : sends(f.advance(0, events.toArray(Event[]::new)))) {
+                for (Transmit t : transmits(f.advance(0, events.toArray(Event[]::new)))) {
                     sent[step] += t.store() == 2 ? 1 : 0;
                     inFlight.get(i).add(new Due(f.now + workMs * MS, t.id(), t.store()));
                 }
@@ -224,13 +226,13 @@
         return worst;
     }
 
-    /** The sum of what all fronts send a cold store stays under N + 2 x root of N + 2, with no word among them. */
+    /** In any window, poolers that do not communicate send a cold store fewer than N + 2 * sqrt(N) + 2 requests, N being permitted. */
     @Test
     void fleetsOfAnySizeDoNotOverloadAColdStore() {
-        for (int fronts : new int[] {3, 20, 30, 120}) {
+        for (int poolers : new int[] {3, 20, 30, 120}) {
             for (long seed = 1; seed <= 5; seed++) {
-                double beyond = excessOverLimit(fronts, seed);
-                assertTrue(beyond < 0, fronts + " fronts, seed " + seed + ": " + beyond + " requests beyond chance");
+                double excess = excessOverLimit(poolers, seed);
+                assertTrue(excess < 0, poolers + " poolers, seed " + seed + ": " + excess + " requests over the limit");
             }
         }
     }
--- a/pooler/src/test/java/holdmux/decision/SplitterFixture.java
+++ b/pooler/src/test/java/holdmux/decision/SplitterFixture.java
@@ -5,16 +5,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A scripted front for tests: settings, a clock, and the actions that came out. */
+/** Test fixture: a splitter with settings and a manual clock; records the actions that it returns. */
 final class SplitterFixture {
     static final long MS = 1_000_000L;
     static final long EPOCH_NS = 1_000_000 * MS;
-    static final int VIEW = 0;
-    static final int OWN = 1;
-    static final int UNSAFE = 2;
-    static final int KEYED = 3;
-    static final int ANY = 4;
-    static final int LONG = 5;
+    /** Indices of the request classes in {@link #settings}. */
+    static final int BOUNDED_READ = 0;
+    static final int SESSION_READ = 1;
+    static final int UNSAFE_WRITE = 2;
+    static final int DEDUPLICATED_WRITE = 3;
+    static final int ANY_READ = 4;
+    static final int LONG_READ = 5;
 
     final ReadWriteSplitter splitter;
     final List<Action> actions = new ArrayList<>();
@@ -40,24 +41,25 @@
                 new Limits(6, true, true, false, true, 500 * MS, false), 0, 1, 2, -1, -1);
     }
 
-    /** One of so many fronts before one group; all stores are known to it. */
+    /** One of several poolers of a group whose stores are all known to it. */
     static SplitterFixture oneOfMany(int poolers, long seed) {
         Settings base = settings(Guards.OFF, true);
         return new SplitterFixture(new Settings(0, poolers, 0, base.stepNs(), base.classes(), base.quotas(), 1, base.guards(), 0,
                 base.zeroNs(), true, true, false, base.rules(), base.limits(), 0, 1, 2, -1, -1), seed).withThreeStores();
     }
 
-    static Listing line(long store, boolean writer, long startedAt, Availability availability) {
+    static Listing listing(long store, boolean writer, long startedAt, Availability availability) {
         return new Listing(store, 1, 0, 0, availability, writer, startedAt, 1);
     }
 
-    /** Stores 1 (primary), 2 and 3 of group 1. */
+    /** Lists stores 1 (primary), 2 and 3 of group 1. */
     SplitterFixture withThreeStores() {
-        advance(0, new ListChanged(ListMode.CACHED, 1, List.of(line(1, true, 0, Availability.READY),
-                line(2, false, 0, Availability.READY), line(3, false, 0, Availability.READY))));
+        advance(0, new ListChanged(ListMode.CACHED, 1, List.of(listing(1, true, 0, Availability.READY),
+                listing(2, false, 0, Availability.READY), listing(3, false, 0, Availability.READY))));
         return this;
     }
 
+    /** Advances the clock, passes the events in and returns the actions. */
     List<Action> advance(long afterMs, Event... events) {
         now += afterMs * MS;
         List<Action> out = new ArrayList<>();
@@ -66,19 +68,19 @@
         return out;
     }
 
-    /** Where a read goes if whoever is asked first answers: the primary that it has room, the others that they lag. */
+    /** The store that a read is sent to if probes are answered first: the primary idle, all replicas far behind. */
     long sentToAfterProbes(long afterMs, Event request) {
         List<Action> out = advance(afterMs, request);
-        for (int round = 0; sentTo(out) == 0 && round < 4; round++) {
+        for (int round = 0; lastTarget(out) == 0 && round < 4; round++) {
             List<Event> answers = new ArrayList<>(List.of(probeOk(1, 0, true)));
             out.stream().filter(Inspect.class::isInstance).map(a -> ((Inspect) a).store()).filter(store -> store != 1)
                     .forEach(store -> answers.add(probeOk(store, 10_000, false)));
             out = advance(2, answers.toArray(Event[]::new));
         }
-        return sentTo(out);
+        return lastTarget(out);
     }
 
-    /** The timer of the module, each 10 ms of a span. */
+    /** Expires the splitter's timer every 10 ms for a time. */
     List<Action> runTimers(long ms) {
         List<Action> out = new ArrayList<>();
         for (long elapsed = 0; elapsed < ms; elapsed += 10) {
@@ -87,26 +89,27 @@
         return out;
     }
 
-    static Arrived request(long id, int classIndex, long session) {
-        return new Arrived(id, classIndex, false, (classIndex == LONG ? 6_000 : 1_200) * MS, 0, 0, session, 0, 1);
+    static Arrived arrival(long id, int classIndex, long session) {
+        return new Arrived(id, classIndex, false, (classIndex == LONG_READ ? 6_000 : 1_200) * MS, 0, 0, session, 0, 1);
     }
 
     Answered answered(long id, int attempt, long store, Outcome outcome, Role role, long position) {
         return new Answered(id, store, attempt, outcome == Outcome.OK, outcome, 5 * MS, role, position, new float[0]);
     }
 
-    /** A probe that finds a position this many milliseconds before now. */
+    /** A successful probe that reports a position this many milliseconds behind now. */
     Checked probeOk(long store, long behindMs, boolean primary) {
         float seconds = (float) ((now - behindMs * MS - EPOCH_NS) / 1e9);
         return new Checked(store, Outcome.OK, MS, new float[] {seconds, primary ? 1 : 0, 0});
     }
 
-    static List<Transmit> sends(List<Action> actions) {
+    static List<Transmit> transmits(List<Action> actions) {
         return actions.stream().filter(Transmit.class::isInstance).map(Transmit.class::cast).toList();
     }
 
-    static long sentTo(List<Action> actions) {
-        List<Transmit> sends = sends(actions);
+    /** The store of the last attempt that was started, 0 if none was. */
+    static long lastTarget(List<Action> actions) {
+        List<Transmit> sends = transmits(actions);
         return sends.isEmpty() ? 0 : sends.get(sends.size() - 1).store();
     }
 
