--- a/bench/StartToReady.java
+++ b/bench/StartToReady.java
@@ -10,18 +10,21 @@
 import java.util.List;
 
 /**
- * What a start of {@code serve} costs: the time from exec to the operators' first yes, the CPU of it and the resident
- * memory then, of two commands in turn, as ratios pair by pair. Linux only: it reads /proc.
+ * Benchmarks the start of {@code serve}: time from exec until the management endpoint {@code /api/ready} first succeeds, and
+ * the CPU time and resident memory at that point. Runs two commands alternately and prints the ratios of the pairs. Linux
+ * only, as it reads {@code /proc}.
  *
  * <pre>java bench/StartToReady.java 15 'java … serve' 'java … serve'</pre>
  */
 public final class StartToReady {
+    /** Figures of one start. */
     private record Measurement(double readyMs, double cpuMs, double residentMb) {
         double[] values() {
             return new double[] {readyMs, cpuMs, residentMb};
         }
     }
 
+    /** Runs the given number of pairs of the two commands, after one warm-up pair. */
     public static void main(String[] args) throws Exception {
         int pairs = Integer.parseInt(args[0]);
         Path directory = Files.createTempDirectory("start");
@@ -31,7 +34,7 @@
         for (int i = -1; i < pairs; i++) {
             double[] first = measureStart(args[1], directory, sample).values();
             double[] second = measureStart(args[2], directory, sample).values();
-            if (i >= 0) { // the first pair warms the file cache
+            if (i >= 0) { // the first pair only warms the file cache
                 valuesA.add(first);
                 valuesB.add(second);
             }
@@ -42,7 +45,8 @@
             double[] ratios = new double[pairs];
             Arrays.setAll(ratios, i -> valuesB.get(i)[index] / valuesA.get(i)[index]);
             System.out.printf("%-12s A %.1f  B %.1f  B/A median %.3f (quartiles %.3f to %.3f)%n", names[column],
-                    median(valuesA, column), median(valuesB, column), quantile(ratios, 0.5), quantile(ratios, 0.25), quantile(ratios, 0.75));
+                    median(valuesA, column), median(valuesB, column), quantile(ratios, 0.5), quantile(ratios, 0.25),
+                    quantile(ratios, 0.75));
         }
     }
 
@@ -75,7 +79,7 @@
             double readyMs = (System.nanoTime() - startNs) / 1e6;
             Path proc = Path.of("/proc", Long.toString(process.pid()));
             String[] stat = Files.readString(proc.resolve("stat")).replaceAll("^.*\\) ", "").split(" ");
-            double cpuMs = (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) * 10.0; // in ticks of 10 ms
+            double cpuMs = (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) * 10.0; // from clock ticks of 10 ms
             double residentMb = Files.readAllLines(proc.resolve("status")).stream().filter(l -> l.startsWith("VmRSS"))
                     .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", ""))).sum() / 1024;
             return new Measurement(readyMs, cpuMs, residentMb);
--- a/standins/src/main/java/holdmux/standins/DiscoveryAgent.java
+++ b/standins/src/main/java/holdmux/standins/DiscoveryAgent.java
@@ -20,26 +20,26 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Discovery's agent on one machine: tells the list of servers, whole or what changed, holds watches, and has faults. */
+/** A discovery agent: serves the server list, whole or as changes, holds watches (long polls), and injects faults. */
 public final class DiscoveryAgent implements AutoCloseable {
     private static final Pattern WATCH_REQUEST = Pattern.compile("GET /v1/endpoints\\?from=(\\d+)&hold_ms=(\\d+) .*");
-    /** How long a watch may not hear of a fault that has set in. */
+    /** How long a held watch takes to notice a fault that was injected. */
     private static final long FAULT_POLL_MS = 50;
 
     private final ServerList serverList;
     private final ServerSocket listener;
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
-    /** Answers to be cut in the middle, and to be made unreadable; only such that tell a change. */
+    /** How many of the next answers that contain changes are truncated, and how many are made unparsable. */
     private final AtomicInteger answersToTruncate = new AtomicInteger(), answersToGarble = new AtomicInteger();
     private final AtomicBoolean silentAfterTruncation = new AtomicBoolean();
-    /** Calls to be accepted and never answered, beside what the faults say. */
+    /** How many of the next calls are never answered, independent of the active faults. */
     private final AtomicInteger callsToIgnore = new AtomicInteger();
-    // all that follows under this object's monitor
+    // the fields below are guarded by this
     private final Set<DiscoveryFault> activeFaults = EnumSet.noneOf(DiscoveryFault.class);
     private int answerDelayMs;
-    /** Versions up to this one are those of an earlier numbering. */
+    /** Subtracted from the versions in answers; 0 until {@link DiscoveryFault#RENUMBERED} restarts the numbering. */
     private long versionOffset;
-    /** Calls made before the last silence of open watches have a lower number. */
+    /** Incremented to leave all open calls unanswered: they were received under a lower number. */
     private int silenceEpoch;
 
     DiscoveryAgent(ServerList serverList) throws IOException {
@@ -48,11 +48,12 @@
         startThread(this::accept);
     }
 
+    /** Returns the address that the agent listens on. */
     public InetSocketAddress address() {
         return new InetSocketAddress("127.0.0.1", listener.getLocalPort());
     }
 
-    /** Lets a fault set in. */
+    /** Starts a fault. */
     public synchronized void inject(DiscoveryFault fault) {
         activeFaults.add(fault);
         if (fault == DiscoveryFault.RENUMBERED) {
@@ -60,44 +61,44 @@
         }
     }
 
-    /** Ends a fault; calls that it caught stay as they are. */
+    /** Ends a fault; calls that it already affected are not repaired. */
     public synchronized void clear(DiscoveryFault fault) {
         activeFaults.remove(fault);
     }
 
-    /** Answers take this much longer from now on; ends with {@link DiscoveryFault#SLOW_ANSWERS}. */
+    /** Delays answers from now on, until {@link DiscoveryFault#SLOW_ANSWERS} is cleared. */
     public synchronized void delayAnswers(int delayMs) {
         answerDelayMs = delayMs;
         activeFaults.add(DiscoveryFault.SLOW_ANSWERS);
     }
 
-    /** The calls that are open now are never answered. */
+    /** Never answers the calls that are open now. */
     public synchronized void leaveOpenCallsUnanswered() {
         silenceEpoch++;
     }
 
-    /** The next calls are accepted and never answered. */
+    /** Accepts the next calls and never answers them. */
     public void ignoreNextCalls(int calls) {
         callsToIgnore.set(calls);
     }
 
-    /** The next answers that tell a change break off in the middle. */
+    /** Closes the connection in the middle of the next answers that contain changes. */
     public void truncateNextAnswers(int answers) {
         answersToTruncate.set(answers);
     }
 
-    /** The next answers that tell a change cannot be read. */
+    /** Makes the next answers that contain changes unparsable. */
     public void garbleNextAnswers(int answers) {
         answersToGarble.set(answers);
     }
 
-    /** The next answer that tells a change breaks off in the middle, and from then on calls are never answered. */
+    /** Truncates the next answer that contains changes and never answers calls from then on. */
     public void truncateNextAnswerThenGoSilent() {
         silentAfterTruncation.set(true);
         truncateNextAnswers(1);
     }
 
-    /** Has left this address: takes no new connection, answers nothing more, and closes the open ones after this time. */
+    /** Stops listening and answering, as an agent that moved to another address; closes open connections after a delay. */
     public void retire(long closeDelayMs) throws IOException {
         inject(DiscoveryFault.SILENT_CALLS);
         leaveOpenCallsUnanswered();
@@ -112,7 +113,7 @@
         });
     }
 
-    /** The whole list in discovery's form. */
+    /** Returns the whole list as JSON. */
     String fullList() {
         return toJson(serverList.changesSince(0), 0, Set.of());
     }
@@ -168,18 +169,19 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // the caller left, or a fault ended it
+            // the client disconnected, or a fault closed the connection
         } finally {
             connections.remove(socket);
         }
     }
 
-    /** Answers a call; false for one that is never answered. */
+    /** Answers a call; returns false if a fault leaves it unanswered. */
     private boolean answer(String requestLine, Socket socket) throws IOException, InterruptedException {
         int epochAtArrival = silenceEpoch();
         boolean ignored = tryConsume(callsToIgnore);
         Matcher watch = WATCH_REQUEST.matcher(requestLine);
-        ListResponse response = watch.matches() ? awaitChange(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2))) : fullList(0);
+        ListResponse response = watch.matches() ? awaitChange(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2)))
+                : listSince(0);
         if (isActive(DiscoveryFault.SLOW_ANSWERS)) {
             Thread.sleep(answerDelayMs());
         }
@@ -217,17 +219,18 @@
         return remaining.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
     }
 
-    private ListResponse fullList(long from) {
-        return isActive(DiscoveryFault.OLDER_LIST) ? serverList.previous() : serverList.changesSince(from);
+    /** Answers a call that is not a watch. */
+    private ListResponse listSince(long fromVersion) {
+        return isActive(DiscoveryFault.OLDER_LIST) ? serverList.previous() : serverList.changesSince(fromVersion);
     }
 
-    /** What a watch is answered: news as soon as there is any, and nothing new when its hold is over. */
-    private ListResponse awaitChange(long from, long holdMs) throws InterruptedException {
-        long sinceVersion = from + versionOffset();
+    /** Answers a watch: the changes as soon as there are any, or no changes when its hold time is over. */
+    private ListResponse awaitChange(long fromVersion, long holdMs) throws InterruptedException {
+        long sinceVersion = fromVersion + versionOffset();
         long deadlineNs = System.nanoTime() + holdMs * 1_000_000L;
         while (System.nanoTime() < deadlineNs && (isActive(DiscoveryFault.OLDER_LIST) || serverList.version() <= sinceVersion)) {
             serverList.awaitNewer(sinceVersion, Math.min(deadlineNs, System.nanoTime() + FAULT_POLL_MS * 1_000_000L));
-            sinceVersion = from + versionOffset();
+            sinceVersion = fromVersion + versionOffset();
             if (isActive(DiscoveryFault.OLDER_LIST)) {
                 Thread.sleep(FAULT_POLL_MS);
             }
@@ -235,7 +238,8 @@
         if (isActive(DiscoveryFault.OLDER_LIST)) {
             return new ListResponse(serverList.previous().version(), false, List.of());
         }
-        ListResponse response = sinceVersion == 0 ? new ListResponse(serverList.version(), false, serverList.changesSince(0).entries()) : serverList.changesSince(sinceVersion);
+        ListResponse response = sinceVersion == 0 ? new ListResponse(serverList.version(), false, serverList.changesSince(0).entries())
+                : serverList.changesSince(sinceVersion);
         return isActive(DiscoveryFault.EMPTY_CHANGES) ? new ListResponse(response.version(), false, List.of()) : response;
     }
 
@@ -260,7 +264,7 @@
 
     private static void awaitClose(BufferedReader in) throws IOException {
         while (in.read() >= 0) {
-            // until the caller gives up
+            // discard input until the client closes the connection
         }
     }
 
@@ -274,7 +278,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // closing is all that was wanted
+                // closing failed: nothing else to release
             }
         }
     }
--- a/standins/src/main/java/holdmux/standins/DiscoveryFault.java
+++ b/standins/src/main/java/holdmux/standins/DiscoveryFault.java
@@ -1,23 +1,23 @@
 package holdmux.standins;
 
-/** What may go wrong between discovery's agent and its callers. */
+/** Faults that a discovery agent can inject. */
 public enum DiscoveryFault {
-    /** Calls are accepted and never answered, as while discovery is down. */
+    /** Calls are accepted and never answered, as during a discovery outage. */
     SILENT_CALLS,
     /** Connections are reset. */
     RESET,
-    /** Answers come late. */
+    /** Answers are delayed. */
     SLOW_ANSWERS,
-    /** Changed entries of answers lack the key {@code dial}. */
+    /** Entries whose health is not {@code up} lack the key {@code dial}. */
     ENTRY_WITHOUT_DIAL,
-    /** Changed entries of answers lack the key {@code health}. */
+    /** Entries whose health is not {@code up} lack the key {@code health}. */
     ENTRY_WITHOUT_HEALTH,
-    /** Changed entries of answers lack the key {@code host}. */
+    /** Entries whose health is not {@code up} lack the key {@code host}. */
     ENTRY_WITHOUT_NAME,
-    /** Answers to watches move the version on and name no change. */
+    /** Answers to watches advance the version but contain no changes. */
     EMPTY_CHANGES,
-    /** Versions are counted anew from 1. */
+    /** Version numbers start again from 1. */
     RENUMBERED,
-    /** The list is told as it was before the last change. */
+    /** Answers contain the list as it was before the last change. */
     OLDER_LIST
 }
--- a/standins/src/main/java/holdmux/standins/Fault.java
+++ b/standins/src/main/java/holdmux/standins/Fault.java
@@ -1,35 +1,38 @@
 package holdmux.standins;
 
 /**
- * What goes wrong with one run of one request, and when: before it runs, after it ran and before any of its answer, or
- * within the answer; {@code at} is the number of batches (Flight), or of answer bytes in sixteenths (PostgreSQL), that
- * still go out in the last case.
+ * A fault injected into one attempt of one request, and the phase in which it occurs: before the request runs, after it ran
+ * and before any of its answer is sent, or within the answer.
+ *
+ * @param progress in phase {@link Phase#MIDWAY}, how much of the answer is sent before the fault: the number of batches
+ *     (Flight) or sixteenths of the answer's bytes (PostgreSQL)
  */
 public record Fault(Kind kind, Phase phase, int progress) {
-    /** What happens. */
+    /** What goes wrong. */
     public enum Kind {
-        /** Nothing more comes; the connection stays. */
+        /** The server sends nothing more; the connection stays open. */
         SILENT,
         /** The connection is reset. */
         RESET,
-        /** What comes cannot be read. */
+        /** The server sends bytes that are no valid message. */
         SPOILT,
-        /** The server says that it failed. */
+        /** The server reports an internal error. */
         ERROR,
-        /** The server says that it is too busy; never with a run. */
+        /** The server reports that it is overloaded; the request must not have run. */
         FULL,
-        /** The server says that it is the wrong one: no primary, or too far behind; never with a run. */
+        /** The server reports that it cannot serve the request: not the primary, or too far behind; the request must not have run. */
         MISS
     }
 
-    /** When it happens. */
+    /** When the fault occurs. */
     public enum Phase { BEFORE_RUN, AFTER_RUN, MIDWAY }
 
+    /** Returns a fault with progress 1. */
     public static Fault of(Kind kind, Phase phase) {
         return new Fault(kind, phase, 1);
     }
 
-    /** Whether the request runs all the same. */
+    /** Returns whether the request runs despite the fault. */
     boolean requestRuns() {
         return phase != Phase.BEFORE_RUN;
     }
--- a/standins/src/main/java/holdmux/standins/FaultRelay.java
+++ b/standins/src/main/java/holdmux/standins/FaultRelay.java
@@ -10,19 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One way from one process to another, on loopback, that faults can be put on: what is sent here goes to the target. */
+/** A TCP proxy on loopback that injects network faults between its clients and one target address. */
 public final class FaultRelay implements AutoCloseable {
-    /** What happens to what is under way and to what comes, from the moment it is set. */
+    /** How open and new connections are treated from the moment the mode is set. */
     public enum Mode {
-        /** All passes. */
+        /** Data passes unchanged. */
         PASS,
-        /** Connections stay open and new ones are taken, but nothing passes either way: a machine that is cut off. */
+        /** Connections stay open and new ones are accepted, but no data passes in either direction: an unreachable machine. */
         SILENT,
-        /** What the caller sends passes; what the other side says does not: half of a way is lost. */
+        /** Data from the client passes, data from the target does not: loss in one direction. */
         HALF_OPEN,
-        /** Connections are reset, new ones at once: a process that is not there. */
+        /** Open connections are reset, new ones right after they are accepted: a process that is not running. */
         RESET,
-        /** All passes later. */
+        /** Data passes after a delay. */
         SLOW
     }
 
@@ -34,17 +34,22 @@
     private Mode mode = Mode.PASS;
     private int delayMs = DEFAULT_DELAY_MS;
 
+    /** Starts a relay to the target in mode {@link Mode#PASS}. */
     public FaultRelay(InetSocketAddress target) throws IOException {
         this.target = target;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         startThread(this::accept);
     }
 
+    /** Returns the address that the relay listens on. */
     public InetSocketAddress address() {
         return new InetSocketAddress("127.0.0.1", listener.getLocalPort());
     }
 
-    /** Connections that a silence began on do not outlive it: on a real network too their state is lost by then. */
+    /**
+     * Changes the mode. Connections that were open during {@link Mode#SILENT} or {@link Mode#HALF_OPEN} are reset when it ends: on a
+     * real network their state is lost by then too.
+     */
     public synchronized void setMode(Mode newMode) {
         if (mode != newMode && (newMode == Mode.RESET || mode == Mode.SILENT || mode == Mode.HALF_OPEN)) {
             List.copyOf(sockets).forEach(FaultRelay::reset);
@@ -54,7 +59,7 @@
         notifyAll();
     }
 
-    /** From now on all passes so much later, each way. */
+    /** Sets mode {@link Mode#SLOW} with this delay in each direction. */
     public synchronized void setDelay(int oneWayMs) {
         delayMs = oneWayMs;
         setMode(Mode.SLOW);
@@ -115,7 +120,7 @@
                 out.write(buffer, 0, count);
             }
         } catch (IOException | InterruptedException e) {
-            // the other end is told below
+            // both sockets are reset below
         }
         reset(from);
         reset(to);
@@ -139,12 +144,12 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // closed already
+            // already closed
         }
         try {
             socket.close();
         } catch (IOException e) {
-            // closing is all that was wanted
+            // closing failed: nothing else to release
         }
     }
 
--- a/standins/src/main/java/holdmux/standins/FlightQuoteServer.java
+++ b/standins/src/main/java/holdmux/standins/FlightQuoteServer.java
@@ -64,15 +64,15 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /**
- * A member of a group that speaks Arrow Flight SQL, on Arrow's own server. The key {@code BxR} of a table named rates
- * gives B batches of R rows; the table facts gives one value.
+ * A group member that speaks Arrow Flight SQL, built on Arrow's Flight server. A query of the table {@code rates} with the
+ * key {@code BxR} returns B batches of R rows; a query of the table {@code facts} returns one value.
  */
 final class FlightQuoteServer implements AutoCloseable {
     private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d+)x(\\d+).*");
     private static final long DICTIONARY_ID = 1;
-    /** Batches of more rows all hold the first one's: a benchmark is to measure their way, not their making. */
+    /** From this size on all batches repeat the rows of the first, so that a benchmark measures transport, not row generation. */
     private static final int LARGE_BATCH_ROWS = 10_000;
-    /** The SQLSTATE for a write that came to a replica. */
+    /** SQLSTATE of a write that reached a replica (read_only_sql_transaction). */
     private static final String READ_ONLY_SQLSTATE = "25006";
 
     private final QuoteGroup group;
@@ -81,7 +81,7 @@
     private final FlightServer server;
     private final EventLoopGroup eventLoops = new NioEventLoopGroup(2, new DefaultThreadFactory("standin", true));
     private final Map<Object, Channel> channels = new ConcurrentHashMap<>();
-    /** Where requests were asked for, so that a fault can reset just that connection; a silent one ends with it too. */
+    /** Client address by request id: a fault resets only the connection of its request, a silent one lasts until that connection ends. */
     private final Map<String, Object> callerAddresses = new ConcurrentHashMap<>();
 
     FlightQuoteServer(QuoteGroup group, Member member) throws IOException {
@@ -89,7 +89,8 @@
         this.member = member;
         allocator = new RootAllocator();
         Consumer<NettyServerBuilder> customizer = builder -> builder.bossEventLoopGroup(eventLoops).workerEventLoopGroup(eventLoops)
-                .channelFactory(() -> new TrackingServerChannel(channels)).flowControlWindow(1 << 20).intercept(new StatusTrailerInterceptor());
+                .channelFactory(() -> new TrackingServerChannel(channels)).flowControlWindow(1 << 20)
+                .intercept(new StatusTrailerInterceptor());
         server = FlightServer.builder(allocator, Location.forGrpcInsecure("127.0.0.1", 0), new Producer())
                 .transportHint("grpc.builderConsumer", customizer).build().start();
     }
@@ -98,7 +99,7 @@
         return new InetSocketAddress("127.0.0.1", server.getPort());
     }
 
-    /** Knows the connections, so that one can be reset. */
+    /** Keeps track of accepted connections, so that a fault can reset one. */
     private static final class TrackingServerChannel extends NioServerSocketChannel {
         private final Map<Object, Channel> channels;
 
@@ -119,7 +120,7 @@
         }
     }
 
-    /** Role, position and load in the trailers of every call; and who asked, before the producer hears of it. */
+    /** Adds role, log position and load to the trailers of every call, and records the client address before the producer runs. */
     private final class StatusTrailerInterceptor implements ServerInterceptor {
         @Override
         public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
@@ -131,7 +132,7 @@
                     putTrailer(trailers, "replication_role", group.role(member));
                     putTrailer(trailers, "log_position", Long.toString(group.positionMs(member)));
                     putTrailer(trailers, "pressure", group.loadReport(member));
-                    // Arrow's own server cannot say FAILED_PRECONDITION, which stands for the wrong server
+                    // Arrow's CallStatus has no FAILED_PRECONDITION, the status that reports a read-only server
                     boolean readOnly = READ_ONLY_SQLSTATE.equals(status.getDescription());
                     super.close(readOnly ? Status.FAILED_PRECONDITION.withDescription(READ_ONLY_SQLSTATE) : status, trailers);
                 }
@@ -140,7 +141,7 @@
                     next.startCall(callWithTrailers, headers)) {
                 @Override
                 public void onMessage(Q message) {
-                    // the messages are bytes here; the id stands in them as it was written
+                    // the message is raw bytes here, but its string form contains the id attribute literally
                     Matcher id = Pattern.compile("\\bid=([^,*\\s]+)").matcher(message.toString());
                     if (id.find()) {
                         callerAddresses.put(id.group(1), callerAddress);
@@ -155,6 +156,7 @@
         trailers.put(Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER), value);
     }
 
+    /** Runs queries and updates against the group. */
     private final class Producer extends NoOpFlightSqlProducer {
         @Override
         public FlightInfo getFlightInfoStatement(CommandStatementQuery command, CallContext context,
@@ -226,7 +228,7 @@
             root.setRowCount(1);
             listener.start(root);
             if (fault != null) {
-                failQuery(fault, statement, listener); // the schema has gone out, the row has not
+                failQuery(fault, statement, listener); // the schema has been sent, the row has not
                 return;
             }
             listener.putNext();
@@ -234,7 +236,7 @@
         }
     }
 
-    /** Batches of a number, a lender by dictionary and a rate, with a pause wherever the reader is slow. */
+    /** Sends batches of a number and a dictionary-encoded lender, waiting while the client is not ready for more. */
     private void sendRates(Statement statement, Fault fault, ServerStreamListener listener) {
         Matcher size = SIZE_PATTERN.matcher(statement.key());
         int batches = size.matches() ? Integer.parseInt(size.group(1)) : 1;
@@ -289,7 +291,7 @@
         }
     }
 
-    /** The connections that a request may have come on: the one it was asked on, or all where that is not known. */
+    /** Returns the connection that a request came on, or all connections if that is not known. */
     private List<Channel> callerChannels(Statement statement) {
         Object callerAddress = callerAddresses.get(statement.id());
         Channel channel = callerAddress == null ? null : channels.get(callerAddress);
@@ -304,16 +306,16 @@
         }
     }
 
-    /** Past the pipeline, whose HTTP/2 would wait for open streams to end. */
+    /** Closes a channel without its pipeline: the HTTP/2 handler would wait for open streams to end. */
     private static void close(Channel channel) {
         if (!channel.isRegistered()) {
-            channel.unsafe().closeForcibly(); // just accepted: it has no loop yet, and nothing is open on it
+            channel.unsafe().closeForcibly(); // just accepted: not registered with an event loop yet, no stream is open
             return;
         }
         channel.eventLoop().execute(() -> channel.unsafe().close(channel.voidPromise()));
     }
 
-    /** Noise where the next frame was owed. */
+    /** Sends invalid bytes where the client expects the next HTTP/2 frame. */
     private void sendGarbage(Statement statement) {
         byte[] garbage = new byte[64];
         Arrays.fill(garbage, (byte) 0xff);
@@ -322,7 +324,7 @@
         }
     }
 
-    /** Nothing more until the peer has ended its connection. */
+    /** Sends nothing until the client has closed its connection. */
     private void awaitDisconnect(Statement statement) {
         callerChannels(statement).forEach(channel -> channel.closeFuture().awaitUninterruptibly(30, TimeUnit.SECONDS));
     }
@@ -360,6 +362,6 @@
         server.awaitTermination(2, TimeUnit.SECONDS);
         server.close();
         eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-        // its memory is not accounted for: Arrow's server loses what waits on a stream that is reset
+        // the allocator is not closed, which would report leaks: Arrow's server loses buffers queued on a stream that is reset
     }
 }
--- a/standins/src/main/java/holdmux/standins/PgQuoteServer.java
+++ b/standins/src/main/java/holdmux/standins/PgQuoteServer.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A member of a group that speaks PostgreSQL's protocol, as much of it as poolers use. */
+/** A group member that speaks the part of the PostgreSQL protocol that the pooler uses: start-up and simple queries. */
 final class PgQuoteServer implements AutoCloseable {
     private final QuoteGroup group;
     private final Member member;
@@ -64,7 +64,7 @@
                 answer(socket, new String(text, 0, text.length - 1, StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
-            // the peer left, or a fault ended it
+            // the client disconnected, or a fault closed the connection
         } finally {
             sockets.remove(socket);
         }
@@ -102,19 +102,19 @@
         }
     }
 
-    /** Lets a fault happen; {@code answer} is what would have been said, null before a run. */
+    /** Applies a fault; {@code answer} is the complete answer of the request, null if it has not run. */
     private void applyFault(Socket socket, Fault fault, byte[] answer) throws IOException {
         if (fault.phase() == Fault.Phase.MIDWAY) {
-            // within the row, at most: what CommandComplete follows is an answer
+            // stop within the row: with CommandComplete the client would have a complete answer
             int rowEnd = answer.length / 2;
             socket.getOutputStream().write(answer, 0, Math.min(rowEnd, answer.length * fault.progress() / 16));
         }
         switch (fault.kind()) {
             case SILENT -> {
                 while (socket.getInputStream().read() >= 0) {
-                    // until the peer gives up
+                    // discard input until the client closes the connection
                 }
-                throw new IOException("silent to the end");
+                throw new IOException("client closed the connection during a SILENT fault");
             }
             case RESET -> {
                 socket.setSoLinger(true, 0);
@@ -164,8 +164,9 @@
         }
     }
 
-    /** Messages of the protocol, one after the other. */
+    /** Encodes consecutive protocol messages into one buffer. */
     private static final class MessageBuffer {
+        /** Writes the body of a message. */
         private interface Body {
             void writeTo(DataOutputStream out) throws IOException;
         }
--- a/standins/src/main/java/holdmux/standins/QuoteGroup.java
+++ b/standins/src/main/java/holdmux/standins/QuoteGroup.java
@@ -12,15 +12,15 @@
 import java.util.regex.Pattern;
 
 /**
- * One group of quote servers as data: a log of writes, members that have applied it up to some place, who is primary,
- * faults waiting for requests, and how often each request ran. Servers of either protocol play it.
+ * The shared state of one group of quote servers: the log of writes, how far each member has applied it, which member is
+ * primary, the planned faults, and how often each request ran. The servers of both protocols use it.
  */
 public final class QuoteGroup {
     private static final Pattern ID_PATTERN = Pattern.compile("\\bid=([^,*\\s]+)");
     private static final Pattern DEADLINE_PATTERN = Pattern.compile("\\bd=(\\d+)");
     private static final Pattern LITERAL_PATTERN = Pattern.compile("'((?:[^']|'')*)'");
 
-    /** One server of the group; {@code lagMs} is how far its data is behind. */
+    /** One server of the group; {@code lagMs} is its replication lag. */
     public static final class Member {
         public final String name;
         volatile long lagMs;
@@ -32,10 +32,10 @@
         }
     }
 
-    /** One write in the log: its commit as Unix time in milliseconds. */
+    /** One committed write; {@code commitMs} is Unix time in milliseconds. */
     private record LogEntry(long commitMs, String key, byte[] value) {}
 
-    /** A statement as a server reads it. */
+    /** A parsed SQL statement: its request id, whether it writes, and its key and value literals. */
     record Statement(String id, boolean write, String key, byte[] value, boolean returning) {
         static Statement parse(String sql) {
             Matcher id = ID_PATTERN.matcher(sql);
@@ -50,10 +50,10 @@
         }
     }
 
-    /** A request that has come whole to a server, when on {@link System#nanoTime}, and how long it says its client waits. */
+    /** The complete arrival of a request at a server, at a time of {@link System#nanoTime}; {@code waitMs} is its deadline attribute. */
     public record Arrival(String server, String id, long atNs, long waitMs) {}
 
-    /** The wrong server for this request: no primary for a write. */
+    /** A write reached a server that is not the primary; it has not run. */
     static final class ReadOnlyServerException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -71,7 +71,7 @@
     private String primary;
     private long lastCommitMs;
 
-    /** Adds a member; the first is the primary. */
+    /** Adds a member; the first one becomes the primary. */
     public synchronized Member add(String name) {
         Member member = new Member(name);
         members.put(name, member);
@@ -84,11 +84,12 @@
         primary = name;
     }
 
+    /** Returns whether a member is the primary. */
     public synchronized boolean isPrimary(Member member) {
         return member.name.equals(primary);
     }
 
-    /** Lets a replica's data be so far behind. */
+    /** Sets the replication lag of a replica. */
     public void setLag(String name, long ms) {
         member(name).lagMs = ms;
     }
@@ -97,18 +98,22 @@
         return members.get(name);
     }
 
-    /** The next runs of this request meet these faults, one each, whichever server they come to. */
+    /** Plans faults for the next attempts of a request, one for each attempt, on whichever server it arrives. */
     public synchronized void planFaults(String id, Fault... planned) {
         plannedFaults.computeIfAbsent(id, i -> new ArrayDeque<>()).addAll(List.of(planned));
     }
 
-    /** What a request meets that has come whole to a server; null for nothing. */
+    /** Takes the next planned fault of a request that arrived at a server; null if there is none. */
     synchronized Fault nextFault(String id) {
         Deque<Fault> planned = plannedFaults.get(id);
         return planned == null ? null : planned.poll();
     }
 
-    /** Runs a request: what it gives, or that this server may not take it, by which it has not run. */
+    /**
+     * Runs a request and returns its result.
+     *
+     * @throws ReadOnlyServerException if it writes and the member is not the primary; it has not run then
+     */
     byte[] run(Member member, Statement statement) throws ReadOnlyServerException {
         synchronized (this) {
             if (statement.write() && !isPrimary(member)) {
@@ -131,35 +136,38 @@
         }
     }
 
-    /** Up to where a member has the log, as Unix time in milliseconds; of the primary never before its last commit. */
+    /** Returns the log position of a member as Unix time in milliseconds; on the primary never before the last commit. */
     synchronized long positionMs(Member member) {
         long now = System.currentTimeMillis();
         return isPrimary(member) ? Math.max(now, lastCommitMs) : now - member.lagMs;
     }
 
-    /** A load report in the form of the wire. */
+    /** Returns the load report of a member in its wire format. */
     String loadReport(Member member) {
         return "x0=" + positionMs(member) / 1000.0 + ",x1=" + (isPrimary(member) ? 1 : 0) + ",inflight=" + member.inFlight
                 + ",util=" + Math.min(1, member.inFlight / 4.0);
     }
 
+    /** Returns the replication role of a member as reported on the wire. */
     String role(Member member) {
         return isPrimary(member) ? "primary" : "standby";
     }
 
+    /** Counts a request in, for the load report. */
     void requestStarted(Member member) {
         synchronized (member) {
             member.inFlight++;
         }
     }
 
+    /** Counts a request out, for the load report. */
     void requestEnded(Member member) {
         synchronized (member) {
             member.inFlight--;
         }
     }
 
-    /** Notes that a request has come whole to a server, whatever becomes of it. */
+    /** Records that a request arrived completely at a server, whatever happens to it afterwards. */
     synchronized void recordArrival(Member member, String sql) {
         Matcher id = ID_PATTERN.matcher(sql);
         Matcher wait = DEADLINE_PATTERN.matcher(sql);
@@ -167,22 +175,22 @@
                 wait.find() ? Long.parseLong(wait.group(1)) : 0));
     }
 
-    /** All requests that came to a server, in order. */
+    /** Returns the arrivals of all requests at servers, in order. */
     public synchronized List<Arrival> arrivals() {
         return List.copyOf(arrivals);
     }
 
-    /** How often each request ran, by id. */
+    /** Returns how often each request ran, by id. */
     public synchronized Map<String, Integer> runCounts() {
         return Map.copyOf(runCounts);
     }
 
-    /** The servers that ran a request, in order. */
+    /** Returns the servers that ran a request, in order. */
     public synchronized List<String> executedOn(String id) {
         return List.copyOf(executedOn.getOrDefault(id, List.of()));
     }
 
-    /** How many writes the log holds under a key. */
+    /** Returns how many writes of a key are in the log. */
     public synchronized long writeCount(String key) {
         return log.stream().filter(entry -> entry.key().equals(key)).count();
     }
--- a/standins/src/main/java/holdmux/standins/ServerList.java
+++ b/standins/src/main/java/holdmux/standins/ServerList.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The servers as discovery knows them, in numbered versions. The agents of several machines may tell the same list. */
+/** The server list that discovery publishes; each change gets a new version number. Several agents can serve the same list. */
 public final class ServerList {
-    /** One server: {@code port} on loopback, {@code health} is up, draining or removed. */
+    /** One server: {@code port} on loopback; {@code health} is {@code up}, {@code draining} or {@code removed}. */
     record Entry(String host, int port, String kind, int group, String health, boolean primary) {
         String toJson() {
             return "{\"host\":\"" + host + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"north\",\"class\":\"" + kind
@@ -16,17 +16,18 @@
         }
     }
 
-    /** What a call is answered: the whole list or the entries that changed, as of a version. */
+    /** Answer to a discovery call: the whole list or only the changed entries, as of a version. */
     record ListResponse(long version, boolean whole, List<Entry> entries) {}
 
+    /** An entry and the version in which it last changed. */
     private record VersionedEntry(long version, Entry entry) {}
 
     private final Map<String, VersionedEntry> entriesByHost = new LinkedHashMap<>();
     private long version;
-    /** The whole list as it was before the last change. */
+    /** The whole list before the last change. */
     private ListResponse previous = new ListResponse(0, true, List.of());
 
-    /** Adds or changes a server. */
+    /** Adds or replaces the entry of a server under a new version. */
     synchronized void put(Entry entry) {
         previous = changesSince(0);
         version++;
@@ -34,12 +35,12 @@
         notifyAll();
     }
 
-    /** The version of the last change. */
+    /** Returns the version of the last change. */
     synchronized long version() {
         return version;
     }
 
-    /** What changed since a version; the whole list for 0. */
+    /** Returns the entries changed after a version; for 0, the whole list without removed servers. */
     synchronized ListResponse changesSince(long fromVersion) {
         List<Entry> entries = new ArrayList<>();
         for (VersionedEntry versioned : entriesByHost.values()) {
@@ -51,12 +52,12 @@
         return new ListResponse(version, fromVersion == 0, List.copyOf(entries));
     }
 
-    /** The whole list as it was before the last change. */
+    /** Returns the whole list as it was before the last change. */
     synchronized ListResponse previous() {
         return previous;
     }
 
-    /** Waits until there is a version above this one, or until this moment of {@link System#nanoTime}. */
+    /** Waits until the version exceeds {@code seenVersion} or {@link System#nanoTime} reaches the deadline. */
     synchronized void awaitNewer(long seenVersion, long deadlineNs) throws InterruptedException {
         for (long waitMs = remainingMs(deadlineNs); version <= seenVersion && waitMs > 0; waitMs = remainingMs(deadlineNs)) {
             wait(waitMs);
--- a/standins/src/main/java/holdmux/standins/StandIns.java
+++ b/standins/src/main/java/holdmux/standins/StandIns.java
@@ -9,10 +9,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** A whole small deployment on loopback: one group, its servers, discovery, and the configuration of a pooler there. */
+/** A small deployment on loopback: one group with its servers, a discovery agent, and the configuration for a pooler. */
 public final class StandIns implements AutoCloseable {
-    /** The kinds under which discovery lists servers of each protocol. */
+    /** The server classes under which discovery lists servers of each protocol. */
     public static final String PG_KIND = "pg", FLIGHT_KIND = "flight";
+    /** Number of the group that the started servers belong to. */
     public static final int GROUP = 1;
 
     private static final int FIRST_PORT = 20_000, PORT_COUNT = 10_000;
@@ -25,27 +26,29 @@
     private final ServerList serverList = new ServerList();
     private final DiscoveryAgent agent = new DiscoveryAgent(serverList);
 
+    /** Starts a deployment without servers: only the discovery agent listens. */
     public StandIns() throws IOException {
         resources.add(agent);
     }
 
+    /** Returns the data, members and planned faults of the group. */
     public QuoteGroup group() {
         return group;
     }
 
-    /** The agent that the configuration names. */
+    /** Returns the discovery agent that the configuration names. */
     public DiscoveryAgent agent() {
         return agent;
     }
 
-    /** A further agent, as of another machine, that tells the same list. */
+    /** Starts another discovery agent, as on another machine, that serves the same list. */
     public synchronized DiscoveryAgent addAgent() throws IOException {
         DiscoveryAgent added = new DiscoveryAgent(serverList);
         resources.add(added);
         return added;
     }
 
-    /** Starts a server of this kind; the first one is the primary. */
+    /** Starts a server of a kind and lists it as up; the first server started is the primary. */
     public void start(String name, String kind) throws IOException {
         QuoteGroup.Member member = group.add(name);
         if (kind.equals(FLIGHT_KIND)) {
@@ -61,12 +64,12 @@
         setHealth(name, "up");
     }
 
-    /** Lists a server with this health: up, draining or removed. */
+    /** Publishes the health of a server: {@code up}, {@code draining} or {@code removed}. */
     public void setHealth(String name, String health) {
         publish(name, name, GROUP, health);
     }
 
-    /** Lists a further server of a group, played by one that was started: for fleets of a size that needs no more data. */
+    /** Lists another server name in a group, backed by a server already started: makes a large fleet without more server processes. */
     public void addAlias(String name, String backingServer, int group, String health) {
         publish(name, backingServer, group, health);
     }
@@ -76,20 +79,20 @@
                 group.isPrimary(group.member(backingServer))));
     }
 
-    /** Lists a server at another address, as when a machine is replaced. */
+    /** Lists a server at another address, as when its machine is replaced. */
     public void setAddress(String name, InetSocketAddress address) {
         addresses.put(name, address);
         setHealth(name, "up");
     }
 
-    /** Where a server listens. */
+    /** Returns the address under which a server is listed. */
     public InetSocketAddress address(String name) {
         return addresses.get(name);
     }
 
     /**
-     * A port that nobody listens on, and never the same one twice: listeners of ours may share one. Below those that the
-     * system gives to outgoing connections, which could take it.
+     * Returns a port that nothing listens on, never the same one twice, since poolers can share a port (SO_REUSEPORT). The
+     * range lies below the ephemeral ports, from which an outgoing connection could take the port.
      */
     public static synchronized int freePort() throws IOException {
         while (true) {
@@ -97,15 +100,17 @@
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (java.net.BindException e) {
-                // another one
+                // in use: try the next one
             }
         }
     }
 
-    /** The configuration of a pooler of this deployment, in the platform's form. */
+    /** Returns the JSON configuration of a pooler in this deployment. */
     public String config(int port, int memoryMb, int sockets) {
-        String classes = requestClassJson("rate-lookup", "idempotent", 300, 1_200, 1) + "," + requestClassJson("my-quotes", "idempotent", 300, 1_000, 1)
-                + "," + requestClassJson("history", "idempotent", 500, 1_500, 2) + "," + requestClassJson("quote-check", "idempotent", 600, 2_000, 1)
+        String classes = requestClassJson("rate-lookup", "idempotent", 300, 1_200, 1) + ","
+                + requestClassJson("my-quotes", "idempotent", 300, 1_000, 1)
+                + "," + requestClassJson("history", "idempotent", 500, 1_500, 2) + ","
+                + requestClassJson("quote-check", "idempotent", 600, 2_000, 1)
                 + "," + requestClassJson("save-quote", "at_most_once", 1_500, 5_000, 3);
         return "{\"name\":\"demo\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
                 + agent.address().getPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
