--- a/app/src/main/java/holdmux/app/soak/DrainScenario.java
+++ b/app/src/main/java/holdmux/app/soak/DrainScenario.java
@@ -18,42 +18,48 @@
 import org.json.JSONObject;
 
 /**
- * Lets a server drain while one or two things go wrong by which a pooler may not have in force what its agent was told, and
- * counts the requests that reach the server past the grace. When a change counts as told is taken from what was done to
- * the agent, never from what the pooler took in.
+ * Drains a server while one or two faults are injected that can keep a pooler from applying a list change of its discovery
+ * agent, and counts the requests that reach the server after the grace period. When the drain counts as delivered follows
+ * from what was done to the agent, never from what the pooler reports.
  */
 public final class DrainScenario {
-    /** What goes wrong. */
+    /** The injected faults. */
     public enum FaultType {
-        /** The agent is silent from before the drain, which it gets at its return. */
+        /** The agent answers no calls from before the drain until after it, and knows of the drain when it answers again. */
         OUTAGE(DiscoveryFault.SILENT_CALLS),
-        /** The same, with connections reset. */
+        /** As {@link #OUTAGE}, but connections are reset. */
         RESET(DiscoveryFault.RESET),
+        /** Answers are delayed. */
         SLOW_ANSWERS(DiscoveryFault.SLOW_ANSWERS),
+        /** The entry of the draining server lacks {@code dial}. */
         ENTRY_WITHOUT_DIAL(DiscoveryFault.ENTRY_WITHOUT_DIAL),
+        /** The entry of the draining server lacks {@code health}. */
         ENTRY_WITHOUT_HEALTH(DiscoveryFault.ENTRY_WITHOUT_HEALTH),
+        /** The entry of the draining server lacks {@code host}. */
         ENTRY_WITHOUT_NAME(DiscoveryFault.ENTRY_WITHOUT_NAME),
+        /** Answers to watches advance the version but contain no changes. */
         EMPTY_CHANGES(DiscoveryFault.EMPTY_CHANGES),
+        /** Version numbers start again from 1. */
         RENUMBERED(DiscoveryFault.RENUMBERED),
-        /** An older list is told once the drain is in force. */
+        /** The agents serve the list from before the drain once the drain is in force. */
         OLDER_LIST(DiscoveryFault.OLDER_LIST),
-        /** The watch that is open as the drain begins is never answered. */
+        /** The watch that is open when the drain begins is never answered. */
         SILENT_WATCH(null),
-        /** The answer that tells the drain breaks off. */
+        /** The answer with the drain is truncated. */
         CUT_ANSWER(null),
-        /** The answer that tells the drain cannot be read. */
+        /** The answer with the drain is unparsable. */
         GARBLED_ANSWER(null),
-        /** All answers that tell the drain cannot be read, for some seconds. */
+        /** All answers with the drain are unparsable for some seconds. */
         GARBLED_ANSWERS(null),
-        /** The answer that tells the drain breaks off, and discovery is down for some seconds behind it. */
+        /** The answer with the drain is truncated, and discovery answers no calls for some seconds after it. */
         CUT_BEFORE_OUTAGE(null),
-        /** The process is killed as the drain begins and starts again while the agent does not answer. */
+        /** The process is killed when the drain begins and starts again while the agent does not answer. */
         RESTART(null),
-        /** The process starts again with an environment that names an agent which has left, and a file that names another. */
+        /** The process restarts with an environment variable that names a retired agent and a configuration that names another. */
         OLD_ENVIRONMENT(null),
-        /** SIGHUP moves discovery to another agent just before the drain begins; the old agent does not tell it. */
+        /** SIGHUP moves discovery to another agent just before the drain; the old agent does not deliver the drain. */
         MOVE(null),
-        /** The same with a file that is only half written at the signal. */
+        /** As {@link #MOVE}, but the configuration file is only half written at the signal. */
         MOVE_BY_HALF_A_FILE(null);
 
         private final DiscoveryFault discoveryFault;
@@ -76,26 +82,28 @@
     }
 
     /**
-     * What came of it.
+     * Result of one scenario.
      *
-     * @param before requests at the server before it drained
-     * @param pastGrace requests at the server later than the grace allows
-     * @param lastAfterMs the last request at the server, in milliseconds after the drain counted as told
-     * @param atEnd requests at the other servers in the last second
+     * @param troubles the injected faults
+     * @param before requests that reached the server before the drain
+     * @param pastGrace requests that reached the server after the grace period
+     * @param lastAfterMs the last request at the server, in milliseconds after the drain counted as delivered
+     * @param atEnd requests that reached the other servers in the last second
      */
     public record Result(Set<FaultType> troubles, long before, long pastGrace, long lastAfterMs, long atEnd) {
-        /** Whether the drain was kept and the pooler serves. */
+        /** Returns whether no request came after the grace period, and requests were served before the drain and at the end. */
         public boolean isPassed() {
             return before > 0 && pastGrace == 0 && atEnd > 0;
         }
     }
 
     private static final long NANOS_PER_MS = 1_000_000L;
-    /** A drain binds this long after it was told; each time limit on sockets is 50 ms longer. */
+    /** A drain is enforced from 2 s after its delivery; on real sockets each time limit is 50 ms longer. */
     private static final long DRAIN_GRACE_MS = 2_000 + 50;
-    /** What the new agent has counts as told this long after SIGHUP. */
+    /** The list of the new agent counts as delivered this long after SIGHUP. */
     private static final long RELOAD_ALLOWANCE_MS = 4_000;
-    private static final long WARM_UP_MS = 1_000, FAULT_LEAD_MS = 400, OUTAGE_MS = 3_000, ANSWERS_RESTORED_AFTER_MS = 4_000, SILENT_START_MS = 4_000, OBSERVATION_MS = 4_000;
+    private static final long WARM_UP_MS = 1_000, FAULT_LEAD_MS = 400, OUTAGE_MS = 3_000, ANSWERS_RESTORED_AFTER_MS = 4_000;
+    private static final long SILENT_START_MS = 4_000, OBSERVATION_MS = 4_000;
     private static final long OLD_AGENT_CLOSE_DELAY_MS = 1_500, FILE_COMPLETED_AFTER_MS = 300;
     private static final int ANSWER_DELAY_MS = 700, CLIENTS = 3, MEMORY_MB = 192, SOCKETS = 1_024, IGNORED_CALLS_AFTER_MOVE = 2;
     private static final String DRAINED_SERVER = "s-2";
@@ -117,17 +125,21 @@
         secondAgent = standIns.addAgent();
     }
 
-    /** Whether two troubles say something together: an older list undoes nothing where the drain could never be read. */
+    /**
+     * Returns whether two faults make a meaningful pair. An older list undoes nothing if the drain could not be read before, and
+     * only one of them may restart the process or move its discovery.
+     */
     public static boolean areCompatible(FaultType one, FaultType other) {
         Set<FaultType> both = EnumSet.of(one, other);
         boolean olderList = both.contains(FaultType.OLDER_LIST);
         boolean neverDelivered = one.restartsProcess() || other.restartsProcess() || both.contains(FaultType.GARBLED_ANSWERS)
                 || both.contains(FaultType.CUT_BEFORE_OUTAGE);
-        boolean conflictingSteps = (one.restartsProcess() || one.movesDiscovery()) && (other.restartsProcess() || other.movesDiscovery());
+        boolean conflictingSteps = (one.restartsProcess() || one.movesDiscovery())
+                && (other.restartsProcess() || other.movesDiscovery());
         return one != other && !(olderList && neverDelivered) && !conflictingSteps;
     }
 
-    /** Plays one set of troubles; the pooler's files go to the folder. */
+    /** Runs one scenario with these faults; the pooler writes its files to the folder. */
     public static Result runScenario(Set<FaultType> faults, Path folder) throws Exception {
         try (StandIns standIns = new StandIns()) {
             for (String server : SERVERS) {
@@ -158,14 +170,14 @@
         long moveDeliveredAt = moveDiscoveryIfPlanned();
         long drainedAt = System.nanoTime();
         standIns.setHealth(DRAINED_SERVER, "draining");
-        long bindsAt = Math.max(moveDeliveredAt, awaitDrainDelivery(drainedAt)) + DRAIN_GRACE_MS * NANOS_PER_MS;
-        sleepUntil(bindsAt);
+        long enforcedFromNs = Math.max(moveDeliveredAt, awaitDrainDelivery(drainedAt)) + DRAIN_GRACE_MS * NANOS_PER_MS;
+        sleepUntil(enforcedFromNs);
         if (faults.contains(FaultType.OLDER_LIST)) {
             agents().forEach(agent -> agent.inject(DiscoveryFault.OLDER_LIST));
         }
-        sleepUntil(bindsAt + OBSERVATION_MS * NANOS_PER_MS);
+        sleepUntil(enforcedFromNs + OBSERVATION_MS * NANOS_PER_MS);
         finished.set(true);
-        return evaluate(drainedAt, bindsAt);
+        return evaluate(drainedAt, enforcedFromNs);
     }
 
     private List<DiscoveryAgent> agents() {
@@ -189,13 +201,13 @@
         }
     }
 
-    /** Goes through what happens as the drain begins; when it counts as told, on {@link System#nanoTime}. */
+    /** Runs the steps that follow the drain; returns when it counts as delivered, on {@link System#nanoTime}. */
     private long awaitDrainDelivery(long drainedAt) throws Exception {
         long deliveredAt = drainedAt;
         if (faults.contains(FaultType.SLOW_ANSWERS)) {
             long answers = 1 + faults.stream().filter(t -> t == FaultType.CUT_ANSWER || t == FaultType.GARBLED_ANSWER
                     || t == FaultType.GARBLED_ANSWERS).count();
-            deliveredAt += answers * ANSWER_DELAY_MS * NANOS_PER_MS; // in transit: each answer that tells it
+            deliveredAt += answers * ANSWER_DELAY_MS * NANOS_PER_MS; // each answer with the drain is delayed, also an unreadable one
         }
         for (FaultType fault : faults) {
             if (fault.restartsProcess()) {
@@ -207,13 +219,14 @@
             if (fault.silencesAgent()) {
                 sleepUntil(drainedAt + OUTAGE_MS * NANOS_PER_MS);
                 agents().forEach(agent -> agent.clear(fault.discoveryFault));
-                deliveredAt = Math.max(deliveredAt, System.nanoTime() + (faults.contains(FaultType.SLOW_ANSWERS) ? ANSWER_DELAY_MS * NANOS_PER_MS : 0));
+                deliveredAt = Math.max(deliveredAt,
+                        System.nanoTime() + (faults.contains(FaultType.SLOW_ANSWERS) ? ANSWER_DELAY_MS * NANOS_PER_MS : 0));
             }
         }
         return deliveredAt;
     }
 
-    /** Some seconds after the drain answers can be read and are given again. */
+    /** Makes answers parsable and calls answered again, some seconds after the drain. */
     private Void restoreAnswers(long drainedAt) throws InterruptedException {
         sleepUntil(drainedAt + ANSWERS_RESTORED_AFTER_MS * NANOS_PER_MS);
         for (DiscoveryAgent agent : agents()) {
@@ -225,7 +238,7 @@
         return null;
     }
 
-    /** The first moment of the new process: what its agent has counts as told from then on. */
+    /** Restarts the process; returns its start time, when the list of its agent counts as delivered. */
     private long restartProcess(FaultType fault) throws Exception {
         pooler.kill();
         if (fault == FaultType.OLD_ENVIRONMENT) {
@@ -247,7 +260,7 @@
         return startedAt;
     }
 
-    /** Moves discovery where that is played; when what the new agent has counts as told. */
+    /** Moves discovery if a fault asks for it; returns when the list of the new agent counts as delivered. */
     private long moveDiscoveryIfPlanned() throws Exception {
         if (faults.contains(FaultType.MOVE)) {
             return moveDiscovery(false);
@@ -277,7 +290,7 @@
         return "127.0.0.1:" + agent.address().getPort();
     }
 
-    private Result evaluate(long drainedAt, long bindsAt) {
+    private Result evaluate(long drainedAt, long enforcedFromNs) {
         long end = System.nanoTime();
         long before = 0, pastGrace = 0, lastAt = 0, atEnd = 0;
         for (Arrival arrival : standIns.group().arrivals()) {
@@ -286,10 +299,10 @@
                 continue;
             }
             before += arrival.atNs() < drainedAt ? 1 : 0;
-            pastGrace += arrival.atNs() > bindsAt ? 1 : 0;
+            pastGrace += arrival.atNs() > enforcedFromNs ? 1 : 0;
             lastAt = arrival.atNs();
         }
-        return new Result(faults, before, pastGrace, (lastAt - bindsAt) / NANOS_PER_MS + DRAIN_GRACE_MS, atEnd);
+        return new Result(faults, before, pastGrace, (lastAt - enforcedFromNs) / NANOS_PER_MS + DRAIN_GRACE_MS, atEnd);
     }
 
     private Void runClient(String name) throws InterruptedException {
--- a/app/src/main/java/holdmux/app/soak/FaultSoak.java
+++ b/app/src/main/java/holdmux/app/soak/FaultSoak.java
@@ -25,25 +25,27 @@
 import org.json.JSONObject;
 
 /**
- * A randomized soak: poolers in processes of their own, clients at each, and faults drawn from a seed that overlap in time,
- * upon discovery, servers, poolers, requests and, with the shim, the poolers' system calls. {@link SoakAudit} is the oracle.
+ * A randomized soak test: pooler processes with clients, and faults drawn from a seed that overlap in time. They hit discovery,
+ * servers, poolers, requests and, with the LD_PRELOAD shim, the poolers' system calls. {@link SoakAudit} is the oracle.
  */
 public final class FaultSoak implements AutoCloseable {
-    /** What may happen; each comes at random times and lasts a random while. */
+    /** Types of faults; each is injected at random times for a random duration. */
     private enum FaultType {
-        DISCOVERY_SLOW, DISCOVERY_SLOW_FOR_LONG, DISCOVERY_SILENT, DISCOVERY_RESET, DISCOVERY_MOVES, SERVER_SILENT, SERVER_RESET, SERVER_SLOW,
-        DRAIN, DRAIN_AGAIN, REMOVE, NEW_PRIMARY, KILL, TERM, PAUSE, HANG_UPS, SILENT_START, SILENT_WATCH, CUT_ANSWER,
+        DISCOVERY_SLOW, DISCOVERY_SLOW_FOR_LONG, DISCOVERY_SILENT, DISCOVERY_RESET, DISCOVERY_MOVES, SERVER_SILENT, SERVER_RESET,
+        SERVER_SLOW, DRAIN, DRAIN_AGAIN, REMOVE, NEW_PRIMARY, KILL, TERM, PAUSE, HANG_UPS, SILENT_START, SILENT_WATCH, CUT_ANSWER,
         GARBLED_ANSWER, FAULTY_ENTRIES, EMPTY_CHANGES, RENUMBERED, OLDER_LIST, CROWD
     }
 
     private static final int SERVERS = 8, PRIMARY_CANDIDATES = 3, CLIENTS = 3, MEMORY_MB = 192, SOCKETS = 1_024;
-    private static final int PAUSE_MS = 100, MAX_GAP_MS = 400, MAX_ONE_WAY_DELAY_MS = 1_200, LONG_DELAY_MS = 8_000, MAX_OUT_OF_SERVICE = 3, MAX_FAULTY_SERVERS = 2;
-    /** SIGKILL comes as early as this after SIGTERM, for the longest deadline there is. */
+    private static final int PAUSE_MS = 100, MAX_GAP_MS = 400, MAX_ONE_WAY_DELAY_MS = 1_200, LONG_DELAY_MS = 8_000;
+    private static final int MAX_OUT_OF_SERVICE = 3, MAX_FAULTY_SERVERS = 2;
+    /** Time from SIGTERM to SIGKILL: the earliest allowed for the longest request deadline, of which at most 3 s count. */
     private static final long KILL_AFTER_MS = 3_700;
+    /** Counters that must be 0 at the end. */
     private static final List<String> ZERO_COUNTERS = List.of("violations_unpermitted", "violations_drain", "violations_client_gone",
             "violations_repeat", "violations_no_answer", "gate_disagreements", "internal_errors", "thread_restarts");
     private static final int MAX_EXTRA_RELOADS = 3, MAX_RELOAD_GAP_MS = 400, IDLE_CLIENTS = 500;
-    /** A stop lasts at least so long: it is told, binds, and is then looked at for some seconds. */
+    /** A server drains or is removed for at least this long: delivery, the grace period, and some seconds in which it is enforced. */
     private static final long MIN_OUT_OF_SERVICE_MS = 6_000;
     private static final long NANOS_PER_MS = 1_000_000L;
 
@@ -56,20 +58,22 @@
     private final SoakAudit audit = new SoakAudit();
     private final AtomicBoolean finished = new AtomicBoolean();
     private final Map<FaultType, Integer> faultCounts = new LinkedHashMap<>();
-    /** Under this object's monitor: who is stopped since when, and which poolers and servers have a trouble now. */
+    /** Servers that are draining or removed, and since when; guarded by this, as the two fields below. */
     private final Map<String, Long> outOfServiceSince = new HashMap<>();
+    /** Poolers, agents and servers that a fault holds exclusively now. */
     private final List<Object> faultTargets = new ArrayList<>();
     private String primary = "s-1";
 
+    /** Creates a soak that prints its summary and violations to {@code out}. */
     public FaultSoak(PrintStream out) throws IOException {
         this.out = out;
     }
 
     /**
-     * Plays one seed.
+     * Runs the soak with one seed.
      *
-     * @param shim whether the poolers' system calls fail too; needs a C compiler
-     * @return what broke a rule, in words
+     * @param shim whether system calls of the poolers fail too; needs a C compiler
+     * @return a description of each violation
      */
     public List<String> run(int poolerCount, int seconds, long seed, boolean shim) throws Exception {
         startDeployment(poolerCount, seed, shim ? compileShim() : null);
@@ -109,7 +113,8 @@
         for (int i = 1; i <= SERVERS; i++) {
             String server = "s-" + i;
             standIns.start(server, StandIns.PG_KIND);
-            group().setLag(server, i <= PRIMARY_CANDIDATES ? 0 : 20L * i); // a position never goes back: fixed, and none for who may lead
+            // the lag is fixed, and 0 for servers that may become primary: a log position must never go back
+            group().setLag(server, i <= PRIMARY_CANDIDATES ? 0 : 20L * i);
             FaultRelay relay = new FaultRelay(standIns.address(server));
             serverRelays.put(server, relay);
             standIns.setAddress(server, relay.address());
@@ -145,7 +150,7 @@
         Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), source.toString(),
                 "-ldl").inheritIO().start();
         if (compiler.waitFor() != 0) {
-            throw new IOException("the shim for system calls cannot be compiled");
+            throw new IOException("cc failed to compile the system call shim " + source);
         }
         return library;
     }
@@ -161,14 +166,17 @@
             SoakPooler pooler = poolers.get(random.nextInt(poolers.size()));
             String server = "s-" + (1 + random.nextInt(SERVERS));
             switch (fault) {
-                case DISCOVERY_SLOW -> runExclusively(pooler.agent(), fault, () -> delayDiscovery(pooler, random.nextInt(MAX_ONE_WAY_DELAY_MS), durationMs));
+                case DISCOVERY_SLOW -> runExclusively(pooler.agent(), fault,
+                        () -> delayDiscovery(pooler, random.nextInt(MAX_ONE_WAY_DELAY_MS), durationMs));
                 case DISCOVERY_SLOW_FOR_LONG -> runExclusively(pooler.agent(), fault, () -> {
                     Future<Void> drain = threads.submit(faultTask(FaultType.DRAIN, durationMs + LONG_DELAY_MS / 2, random.split()));
                     delayDiscovery(pooler, MAX_ONE_WAY_DELAY_MS / 2 + random.nextInt(MAX_ONE_WAY_DELAY_MS / 2), LONG_DELAY_MS + durationMs);
                     drain.get();
                 });
-                case DISCOVERY_SILENT -> runExclusively(pooler.agent(), fault, () -> interruptDiscovery(pooler, FaultRelay.Mode.SILENT, durationMs));
-                case DISCOVERY_RESET -> runExclusively(pooler.agent(), fault, () -> interruptDiscovery(pooler, FaultRelay.Mode.RESET, durationMs));
+                case DISCOVERY_SILENT -> runExclusively(pooler.agent(), fault,
+                        () -> interruptDiscovery(pooler, FaultRelay.Mode.SILENT, durationMs));
+                case DISCOVERY_RESET -> runExclusively(pooler.agent(), fault,
+                        () -> interruptDiscovery(pooler, FaultRelay.Mode.RESET, durationMs));
                 case DISCOVERY_MOVES -> runExclusively(pooler.agent(), fault, () -> moveDiscovery(pooler, 1, random));
                 case SERVER_SILENT -> runExclusively(server, fault, () -> interruptServer(server, FaultRelay.Mode.SILENT, durationMs));
                 case SERVER_RESET -> runExclusively(server, fault, () -> interruptServer(server, FaultRelay.Mode.RESET, durationMs));
@@ -179,15 +187,20 @@
                 case KILL -> runExclusively(pooler, fault, () -> restart(pooler, true));
                 case TERM -> runExclusively(pooler, fault, () -> restart(pooler, false));
                 case PAUSE -> runExclusively(pooler, fault, () -> pause(pooler));
-                case HANG_UPS -> runExclusively(pooler.agent(), fault, () -> moveDiscovery(pooler, 2 + random.nextInt(MAX_EXTRA_RELOADS), random));
+                case HANG_UPS -> runExclusively(pooler.agent(), fault,
+                        () -> moveDiscovery(pooler, 2 + random.nextInt(MAX_EXTRA_RELOADS), random));
                 case SILENT_START -> runExclusively(pooler, fault, () -> restartDuringSilence(pooler, durationMs));
                 case SILENT_WATCH -> runExclusively(pooler.agent(), fault, pooler.agent()::leaveOpenCallsUnanswered);
                 case CUT_ANSWER -> runExclusively(pooler.agent(), fault, () -> pooler.agent().truncateNextAnswers(1));
                 case GARBLED_ANSWER -> runExclusively(pooler.agent(), fault, () -> pooler.agent().garbleNextAnswers(1));
-                case FAULTY_ENTRIES -> runExclusively(pooler.agent(), fault, () -> injectIntoAgent(pooler, faultyEntry(random), durationMs));
-                case EMPTY_CHANGES -> runExclusively(pooler.agent(), fault, () -> injectIntoAgent(pooler, DiscoveryFault.EMPTY_CHANGES, durationMs));
-                case RENUMBERED -> runExclusively(pooler.agent(), fault, () -> injectIntoAgent(pooler, DiscoveryFault.RENUMBERED, durationMs));
-                case OLDER_LIST -> runExclusively(pooler, fault, () -> runExclusively(pooler.agent(), fault, () -> serveOlderList(pooler, durationMs)));
+                case FAULTY_ENTRIES -> runExclusively(pooler.agent(), fault,
+                        () -> injectIntoAgent(pooler, faultyEntry(random), durationMs));
+                case EMPTY_CHANGES -> runExclusively(pooler.agent(), fault,
+                        () -> injectIntoAgent(pooler, DiscoveryFault.EMPTY_CHANGES, durationMs));
+                case RENUMBERED -> runExclusively(pooler.agent(), fault,
+                        () -> injectIntoAgent(pooler, DiscoveryFault.RENUMBERED, durationMs));
+                case OLDER_LIST -> runExclusively(pooler, fault,
+                        () -> runExclusively(pooler.agent(), fault, () -> serveOlderList(pooler, durationMs)));
                 case CROWD -> runExclusively(pooler, fault, () -> connectIdleClients(pooler, durationMs));
             }
             return null;
@@ -198,7 +211,7 @@
         void run() throws Exception;
     }
 
-    /** Does this to one that has no other trouble of its kind now. */
+    /** Runs a fault unless its target already has one, or too many servers have one. */
     private void runExclusively(Object target, FaultType fault, FaultAction action) throws Exception {
         synchronized (this) {
             if (faultTargets.contains(target) || target instanceof String && faultyServers() >= MAX_FAULTY_SERVERS) {
@@ -229,7 +242,7 @@
         audit.deliveryTimes().addSilence(pooler.name, startNs, System.nanoTime());
     }
 
-    /** What comes late from the agent counts as told once it could arrive. */
+    /** Delays the pooler's messages with its agent; the audit counts list changes as delivered correspondingly later. */
     private void delayDiscovery(SoakPooler pooler, int oneWayMs, long durationMs) throws InterruptedException {
         FaultRelay relay = pooler.discoveryRelay();
         long startNs = System.nanoTime();
@@ -250,14 +263,14 @@
         pooler.agent().clear(fault);
     }
 
-    /** An agent that tells an older list has nothing newer to tell meanwhile. */
+    /** Serves the previous list; for the audit the agent is silent meanwhile, as it delivers nothing newer. */
     private void serveOlderList(SoakPooler pooler, long durationMs) throws InterruptedException {
         long startNs = System.nanoTime();
         injectIntoAgent(pooler, DiscoveryFault.OLDER_LIST, durationMs);
         audit.deliveryTimes().addSilence(pooler.name, startNs, System.nanoTime());
     }
 
-    /** New configurations in a row, each with the other way to discovery. */
+    /** Reloads the configuration several times in a row, each time with the other relay to discovery. */
     private void moveDiscovery(SoakPooler pooler, int times, SplittableRandom random) throws Exception {
         for (int i = 1; i < times; i++) {
             audit.deliveryTimes().addReload(pooler.name, System.nanoTime());
@@ -268,7 +281,7 @@
         pooler.moveDiscovery();
     }
 
-    /** A restart while the agent, which has all that was told before, does not answer. */
+    /** Restarts the pooler while its agent, which knows all earlier changes, does not answer. */
     private void restartDuringSilence(SoakPooler pooler, long durationMs) throws Exception {
         long startNs = System.nanoTime();
         pooler.agent().inject(DiscoveryFault.SILENT_CALLS);
@@ -282,26 +295,26 @@
         restart.get();
     }
 
-    /** Clients that connect and say nothing, as many as fill the pooler's share of descriptors. */
+    /** Connects enough idle clients to use up the pooler's share of file descriptors for clients. */
     private static void connectIdleClients(SoakPooler pooler, long durationMs) throws InterruptedException {
         List<PgClient> clients = new ArrayList<>();
-        pooler.crowded(true);
+        pooler.setCrowded(true);
         try {
             for (int i = 0; i < IDLE_CLIENTS; i++) {
                 clients.add(pooler.process().talk());
             }
         } catch (IOException e) {
-            // turned away: it is full
+            // rejected: the limit is reached
         }
         Thread.sleep(durationMs);
         for (PgClient client : clients) {
             try {
                 client.close();
             } catch (IOException e) {
-                // closing is all that was wanted
+                // closing failed: nothing else to release
             }
         }
-        pooler.crowded(false);
+        pooler.setCrowded(false);
     }
 
     private void interruptServer(String server, FaultRelay.Mode mode, long durationMs) throws InterruptedException {
@@ -310,7 +323,7 @@
         serverRelays.get(server).setMode(FaultRelay.Mode.PASS);
     }
 
-    /** Has discovery tell that a server drains or is gone, for long enough to see whether that is kept. */
+    /** Lists a server as draining or removed, for long enough to observe whether it still gets requests. */
     private void takeOutOfService(String server, String health, FaultType fault, long extraMs) throws InterruptedException {
         synchronized (this) {
             if (finished.get() || outOfServiceSince.containsKey(server) || outOfServiceSince.size() >= MAX_OUT_OF_SERVICE
@@ -352,7 +365,7 @@
         if (kill) {
             pooler.kill();
         } else if (!pooler.terminate(KILL_AFTER_MS)) {
-            audit.broken("end: " + pooler.name + " did not end by itself within " + KILL_AFTER_MS + " ms");
+            audit.reportViolation("end: " + pooler.name + " did not end by itself within " + KILL_AFTER_MS + " ms");
         }
         audit.deliveryTimes().addStart(pooler.name, System.nanoTime());
         pooler.start();
@@ -364,18 +377,18 @@
         pooler.process().signal("CONT");
     }
 
-    /** Each pooler lives, and counted no break of a rule itself. */
+    /** Checks that each pooler is alive and has counted and logged no violation itself. */
     private void checkPoolers() throws Exception {
         for (SoakPooler pooler : poolers) {
             if (!pooler.process().isAlive()) {
-                audit.broken("crash: " + pooler.name + ": " + pooler.process().log());
+                audit.reportViolation("crash: " + pooler.name + ": " + pooler.process().log());
                 continue;
             }
             Map<String, String> counters = pooler.counters();
             ZERO_COUNTERS.stream().filter(name -> !"0".equals(counters.get(name)))
-                    .forEach(name -> audit.broken(pooler.name + ": " + name + "=" + counters.get(name)));
+                    .forEach(name -> audit.reportViolation(pooler.name + ": " + name + "=" + counters.get(name)));
             pooler.process().log().lines().filter(line -> line.contains("rule broken"))
-                    .forEach(line -> audit.broken(pooler.name + ": " + line));
+                    .forEach(line -> audit.reportViolation(pooler.name + ": " + line));
         }
     }
 
--- a/app/src/main/java/holdmux/app/soak/SoakAudit.java
+++ b/app/src/main/java/holdmux/app/soak/SoakAudit.java
@@ -8,70 +8,75 @@
 import java.util.Map;
 
 /**
- * Judges one run of the soak by the platform's rules, from what was done to the fleet, what came to the servers and what
- * the clients were told. No clock and no I/O: all times are {@link System#nanoTime} of the driver.
+ * The oracle of the soak: finds violations of the request guarantees, from the injected faults, the arrivals at the servers
+ * and the answers to the clients. Reads no clock and does no I/O: all times are {@link System#nanoTime} values of the driver.
  */
 final class SoakAudit {
     private static final long NANOS_PER_MS = 1_000_000L;
-    /** A drain binds this long after it was told. */
+    /** A drain is enforced from this long after it was delivered. */
     static final long DRAIN_GRACE_NS = 2_000 * NANOS_PER_MS;
-    /** Between a write of a pooler and its arrival: a slow way (120 ms), a process stopped for 100 ms, and the stand-in's thread. */
+    /** Longest time between a send and its arrival: a slow network (120 ms), a process paused for 100 ms, a stand-in's thread. */
     static final long IN_FLIGHT_NS = 250 * NANOS_PER_MS;
-    /** An answer later than this past its time is none; a client that left may cause attempts for so long. */
+    /** How late after its deadline an answer may come, and how long after a client disconnected attempts may still be sent. */
     private static final long ANSWER_SLACK_NS = 550 * NANOS_PER_MS, CLIENT_GONE_SLACK_NS = 100 * NANOS_PER_MS;
-    /** The deadline passed on may be longer than what is left by so much. */
+    /** By how much the deadline passed to a server may exceed the remaining time. */
     private static final long DEADLINE_SLACK_NS = 150 * NANOS_PER_MS;
 
-    /** A server takes nothing new between these moments. */
+    /** A period in which a server, draining or removed, must get no new request. */
     private record OutOfService(String server, long from, long until) {}
 
-    /** One request of a client; {@code leftAt} is 0 where the client stayed, {@code excused} where its pooler was killed. */
+    /**
+     * One request of a client; {@code leftAt} is 0 if the client waited for the answer. {@code excused} marks a connection that was
+     * closed without an answer for an accepted reason, for example because its pooler was killed.
+     */
     record Asked(String id, String pooler, boolean onceOnly, long sentAt, long waitNs, long answeredAt, long leftAt,
             boolean excused) {}
 
     private final List<OutOfService> outOfService = new ArrayList<>();
     private final DeliveryTimes deliveryTimes = new DeliveryTimes();
-    private final List<Asked> asked = Collections.synchronizedList(new ArrayList<>());
-    private final List<String> broken = Collections.synchronizedList(new ArrayList<>());
+    private final List<Asked> requests = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> reported = Collections.synchronizedList(new ArrayList<>());
 
+    /** Records that a server was draining or removed between these times. */
     void addOutOfService(String server, long from, long until) {
         outOfService.add(new OutOfService(server, from, until));
     }
 
-    /** What was done by which changes count as told. */
+    /** Returns the record of events that determine when list changes count as delivered. */
     DeliveryTimes deliveryTimes() {
         return deliveryTimes;
     }
 
-    void asked(Asked request) {
-        asked.add(request);
+    /** Records a finished request. */
+    void recordRequest(Asked request) {
+        requests.add(request);
     }
 
-    /** Something that was seen to break a rule by itself. */
-    void broken(String violation) {
-        broken.add(violation);
+    /** Adds a violation that was observed directly. */
+    void reportViolation(String violation) {
+        reported.add(violation);
     }
 
     int requests() {
-        return asked.size();
+        return requests.size();
     }
 
-    /** All that broke a rule, in words. */
+    /** Returns a description of each violation. */
     List<String> verdict(List<Arrival> arrivals, Map<String, Integer> runs) {
-        List<String> violations = new ArrayList<>(broken);
+        List<String> violations = new ArrayList<>(reported);
         Map<String, Asked> byId = new HashMap<>();
-        asked.forEach(request -> byId.put(request.id(), request));
+        requests.forEach(request -> byId.put(request.id(), request));
         for (Arrival arrival : arrivals) {
             Asked request = byId.get(arrival.id());
             if (request != null) {
-                check(arrival, request, violations);
+                checkArrival(arrival, request, violations);
             }
         }
-        asked.forEach(request -> check(request, runs, violations));
+        requests.forEach(request -> checkRequest(request, runs, violations));
         return violations;
     }
 
-    private void check(Arrival arrival, Asked request, List<String> violations) {
+    private void checkArrival(Arrival arrival, Asked request, List<String> violations) {
         for (OutOfService period : outOfService) {
             long deliveredAt = deliveryTimes.deliveredAt(period.from(), request.pooler(), arrival.atNs());
             boolean pastGrace = arrival.atNs() > deliveredAt + DRAIN_GRACE_NS + IN_FLIGHT_NS;
@@ -89,7 +94,7 @@
         }
     }
 
-    private void check(Asked request, Map<String, Integer> runs, List<String> violations) {
+    private void checkRequest(Asked request, Map<String, Integer> runs, List<String> violations) {
         if (request.onceOnly() && runs.getOrDefault(request.id(), 0) > 1) {
             violations.add("duplicate: " + request + " ran " + runs.get(request.id()) + " times");
         }
@@ -99,7 +104,8 @@
         if (request.answeredAt() == 0) {
             violations.add("lost: " + request);
         } else if (request.answeredAt() > request.sentAt() + request.waitNs() + ANSWER_SLACK_NS) {
-            violations.add("late: " + request + " by " + (request.answeredAt() - request.sentAt() - request.waitNs()) / NANOS_PER_MS + " ms");
+            violations.add("late: " + request + " by " + (request.answeredAt() - request.sentAt() - request.waitNs()) / NANOS_PER_MS
+                    + " ms");
         }
     }
 }
--- a/app/src/main/java/holdmux/app/soak/SoakClient.java
+++ b/app/src/main/java/holdmux/app/soak/SoakClient.java
@@ -15,9 +15,9 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
-/** One client of one pooler: one request after the other, in a session of its own; some it leaves early. */
+/** A client of one pooler: sends requests one after another in its own session, and sometimes disconnects before the answer. */
 final class SoakClient implements Runnable {
-    /** How a request is written and what it may wait: a class of the stand-ins' configuration. */
+    /** A request class of the configuration of {@code StandIns}, and the longest deadline that requests of it are given. */
     private enum Kind {
         RATE("rate-lookup", 1_200), OWN("my-quotes", 1_000), HISTORY("history", 1_500), CHECK("quote-check", 2_000),
         WRITE("save-quote", 3_000);
@@ -40,11 +40,11 @@
     private final SplittableRandom random;
     private final BooleanSupplier finished;
     private PgClient connection;
-    /** Whether the connection has carried a request before this one, so that it has been at rest. */
+    /** Whether the connection has carried a request before, so that it was idle and the pooler may close it. */
     private boolean connectionReused;
-    /** What the session's reads may show: its last write that was acknowledged since its pooler's start, or any that may
-     * have run, or run late. */
+    /** The session's last acknowledged write since its pooler started. Reads must return it or one of {@link #uncertain}. */
     private String acknowledged;
+    /** Writes that may have run, or may still run late. */
     private final Set<String> uncertain = new HashSet<>();
     private int incarnation, kills;
     private int requestCount;
@@ -113,25 +113,25 @@
                 connection.close();
             }
         } catch (IOException e) {
-            // closing is all that was wanted
+            // closing failed: nothing else to release
         }
         connection = null;
     }
 
-    /** Sends a request and closes the connection a little later, whatever has come by then. */
+    /** Sends a request and closes the connection a little later, whether or not an answer has come. */
     private void sendAndDisconnect(Kind kind, String id, int waitMs) throws InterruptedException {
         long sent = System.nanoTime();
         try {
             connection.send(sql(kind, id, waitMs));
             Thread.sleep(random.nextInt(60));
         } catch (IOException e) {
-            // it may have been on its way: it has left all the same
+            // the request may have been sent: it still counts as abandoned
         }
         disconnect();
         if (kind == Kind.WRITE) {
             uncertain.add(id);
         }
-        audit.asked(new Asked(id, pooler.name, kind == Kind.WRITE, sent, waitMs * 1_000_000L, 0, System.nanoTime(), false));
+        audit.recordRequest(new Asked(id, pooler.name, kind == Kind.WRITE, sent, waitMs * 1_000_000L, 0, System.nanoTime(), false));
     }
 
     private void sendAndAwaitAnswer(Kind kind, String id, int waitMs) {
@@ -152,17 +152,20 @@
         } catch (IOException e) {
             excused = !(e instanceof SocketTimeoutException) && isExcused(id);
             if (!excused) {
-                audit.broken("no answer: " + id + " after " + (System.nanoTime() - sent) / 1_000_000 + " ms: " + e);
+                audit.reportViolation("no answer: " + id + " after " + (System.nanoTime() - sent) / 1_000_000 + " ms: " + e);
             }
             disconnect();
             if (write) {
                 uncertain.add(id);
             }
         }
-        audit.asked(new Asked(id, pooler.name, write, sent, waitMs * 1_000_000L, answered, 0, excused));
+        audit.recordRequest(new Asked(id, pooler.name, write, sent, waitMs * 1_000_000L, answered, 0, excused));
     }
 
-    /** A close without an answer: the pooler was killed, or ended a connection at rest by a close that crossed the request. */
+    /**
+     * Returns whether a close without an answer is accepted: the pooler was killed, or it closed an idle connection while the
+     * request was in flight.
+     */
     private boolean isExcused(String id) {
         boolean forwarded = group.arrivals().stream().anyMatch(arrival -> arrival.id().equals(id));
         boolean sameIncarnation = pooler.process().isAlive() && incarnation == pooler.incarnation();
@@ -185,7 +188,7 @@
     private void checkRead(String id, String value) {
         boolean sameIncarnation = incarnation == pooler.incarnation() && kills == pooler.kills();
         if (acknowledged != null && sameIncarnation && !value.equals(acknowledged) && !uncertain.contains(value)) {
-            audit.broken("stale: " + id + " read " + value + " where " + acknowledged + " or " + uncertain + " may be read");
+            audit.reportViolation("stale: " + id + " read " + value + " where " + acknowledged + " or " + uncertain + " may be read");
         }
     }
 
--- a/app/src/main/java/holdmux/app/soak/SoakPooler.java
+++ b/app/src/main/java/holdmux/app/soak/SoakPooler.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.json.JSONObject;
 
-/** One pooler of the soak: its process, two ways to discovery of its own, and how often it has started. */
+/** One pooler of the soak: its process, its discovery agent, and two relays to that agent between which it can be moved. */
 final class SoakPooler implements AutoCloseable {
     private static final int MAX_STATS_RETRIES = 50;
     private static final long STATS_RETRY_DELAY_MS = 100;
@@ -19,10 +19,11 @@
     final String name;
     private final PoolerProcess process;
     private final JSONObject config;
+    /** How long connections to the old relay stay open after a move, as those to a decommissioned agent would. */
     private static final long OLD_RELAY_CLOSE_DELAY_MS = 1_500;
 
     private final DiscoveryAgent agent;
-    private final FaultRelay[] discoveryRelay = new FaultRelay[2];
+    private final FaultRelay[] discoveryRelays = new FaultRelay[2];
     private int activeRelay;
     private volatile int incarnation;
     private volatile int kills;
@@ -32,14 +33,14 @@
         this.name = name;
         this.config = new JSONObject(config);
         this.agent = agent;
-        discoveryRelay[0] = new FaultRelay(agent.address());
-        discoveryRelay[1] = new FaultRelay(agent.address());
+        discoveryRelays[0] = new FaultRelay(agent.address());
+        discoveryRelays[1] = new FaultRelay(agent.address());
         process = new PoolerProcess(name, port, folder.resolve(name), selectRelay(0), List.of());
     }
 
     private String selectRelay(int index) {
         activeRelay = index;
-        return config.put("discovery", "127.0.0.1:" + discoveryRelay[index].address().getPort()).toString();
+        return config.put("discovery", "127.0.0.1:" + discoveryRelays[index].address().getPort()).toString();
     }
 
     PoolerProcess process() {
@@ -50,45 +51,46 @@
         return process.port;
     }
 
-    /** Discovery's agent on its machine. */
+    /** Returns the discovery agent of this pooler. */
     DiscoveryAgent agent() {
         return agent;
     }
 
-    /** The way to discovery that it follows now. */
+    /** Returns the relay to discovery that the current configuration names. */
     synchronized FaultRelay discoveryRelay() {
-        return discoveryRelay[activeRelay];
+        return discoveryRelays[activeRelay];
     }
 
-    /** How often it was started: what a session wrote counts within one start only. */
+    /** Returns how often the process was started; read-your-writes holds only within one incarnation. */
     int incarnation() {
         return incarnation;
     }
 
-    /** How often SIGKILL ended it, without SIGTERM before. */
+    /** Returns how often the process was killed by SIGKILL without SIGTERM before. */
     int kills() {
         return kills;
     }
 
-    /** Whether SIGTERM has told it to end. */
+    /** Returns whether the process has been sent SIGTERM. */
     boolean isTerminating() {
         return terminating;
     }
 
-    /** Whether idle clients fill its descriptors: resting connections may be closed then. */
+    /** Returns whether idle clients use up its file descriptors, in which case it may close idle connections. */
     boolean isCrowded() {
         return crowded;
     }
 
-    void crowded(boolean yes) {
-        crowded = yes;
+    void setCrowded(boolean value) {
+        crowded = value;
     }
 
-    /** Whether SIGKILL ended it, without SIGTERM before. */
+    /** Returns whether the process is down after SIGKILL without SIGTERM before. */
     boolean isKilled() {
         return killed;
     }
 
+    /** Starts the process and waits until it listens. */
     void start() throws IOException, InterruptedException {
         process.start();
         process.awaitListening();
@@ -97,14 +99,14 @@
         terminating = false;
     }
 
-    /** SIGKILL. */
+    /** Kills the process with SIGKILL. */
     void kill() {
         killed = true;
         kills++;
         process.kill();
     }
 
-    /** SIGTERM, and SIGKILL after this time if it is still there; whether it ended by itself. */
+    /** Sends SIGTERM, and SIGKILL if the process is still alive after this time; returns whether it exited by itself. */
     boolean terminate(long killAfterMs) throws IOException, InterruptedException {
         terminating = true;
         process.signal("TERM");
@@ -117,7 +119,7 @@
         return exited;
     }
 
-    /** A new configuration: the other way to discovery; SIGHUP. The old way takes no connection and closes the open ones later. */
+    /** Moves discovery to the other relay by SIGHUP; the old relay resets its connections a little later. */
     void moveDiscovery() throws IOException, InterruptedException {
         FaultRelay oldRelay = discoveryRelay();
         reloadWithOtherRelay();
@@ -127,14 +129,14 @@
         }
     }
 
-    /** Names the other way to discovery and tells the process by SIGHUP. */
+    /** Writes a configuration that names the other relay and sends SIGHUP. */
     synchronized void reloadWithOtherRelay() throws IOException, InterruptedException {
-        discoveryRelay[1 - activeRelay].setMode(FaultRelay.Mode.PASS);
+        discoveryRelays[1 - activeRelay].setMode(FaultRelay.Mode.PASS);
         process.configure(selectRelay(1 - activeRelay));
         process.signal("HUP");
     }
 
-    /** Its counters. */
+    /** Reads the counters by {@code SHOW STATS}, with retries while connections fail. */
     Map<String, String> counters() throws IOException, InterruptedException {
         Map<String, String> counters = new HashMap<>();
         for (int i = 0; counters.isEmpty(); i++) {
@@ -153,7 +155,7 @@
     @Override
     public void close() throws IOException {
         process.kill();
-        discoveryRelay[0].close();
-        discoveryRelay[1].close();
+        discoveryRelays[0].close();
+        discoveryRelays[1].close();
     }
 }
--- a/app/src/main/resources/holdmux/app/soak/syscall_faults.c
+++ b/app/src/main/resources/holdmux/app/soak/syscall_faults.c
@@ -1,6 +1,7 @@
 /*
- * Loaded into a pooler by the soak (LD_PRELOAD): system calls on sockets fail for a moment, are interrupted, or move fewer
- * bytes than asked, as Linux documents. SYSCALL_FAULTS_SEED draws which; one call in SYSCALL_FAULTS_RARITY is hit.
+ * Shim that the soak loads into a pooler with LD_PRELOAD: system calls on sockets fail transiently, are interrupted, or
+ * transfer fewer bytes than requested, with the errors that Linux documents. SYSCALL_FAULTS_SEED seeds the random choice;
+ * one call in SYSCALL_FAULTS_RARITY is affected.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -16,6 +17,7 @@
 #define REAL(name) ((__typeof__(&name)) real(#name))
 #define DEFAULT_RARITY 100
 
+/* The next definition of a function, normally that of libc. */
 static void *real(const char *name) {
     return dlsym(RTLD_NEXT, name);
 }
@@ -25,7 +27,7 @@
     return text == NULL ? otherwise : atol(text);
 }
 
-/* A splitmix64 step over one shared state: which thread draws which number is left to chance, how many are hit is not. */
+/* A splitmix64 step over one shared state: which thread draws which number depends on scheduling, how many are hit does not. */
 static unsigned long draw(void) {
     static atomic_ulong state;
     static atomic_int begun;
@@ -38,6 +40,7 @@
     return z ^ (z >> 31);
 }
 
+/* Whether this call is affected. */
 static int hit(void) {
     static atomic_long rarity;
     if (rarity == 0) {
@@ -46,6 +49,7 @@
     return draw() % (unsigned long) rarity == 0;
 }
 
+/* Whether this call fails; sets errno to one of the errors. */
 static int fails(const int *errors, int count) {
     if (!hit()) {
         return 0;
@@ -54,6 +58,7 @@
     return 1;
 }
 
+/* Whether fd is a stream socket; keeps errno. */
 static int is_stream(int fd) {
     int type = 0;
     socklen_t length = sizeof type;
@@ -63,6 +68,7 @@
     return yes;
 }
 
+/* The length, or a shorter one for an affected call. */
 static size_t fewer(size_t length) {
     return length > 1 && hit() ? 1 + draw() % (length - 1) : length;
 }
--- a/app/src/test/java/holdmux/app/soak/DrainScenarioTest.java
+++ b/app/src/test/java/holdmux/app/soak/DrainScenarioTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import holdmux.app.soak.DrainScenario.Result;
 import holdmux.app.soak.DrainScenario.FaultType;
+import holdmux.app.soak.DrainScenario.Result;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -20,11 +20,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each way by which a drain that was told may not be in force, alone and in pairs, on real processes. */
+/**
+ * Runs {@link DrainScenario} with each fault alone and with pairs of faults, on real processes: a pooler that misses the drain in
+ * a discovery answer, or forgets it, sends requests to the draining server after the grace period.
+ */
 class DrainScenarioTest {
-    /** Plays at once: each is a process that mostly waits. */
+    /** Scenarios run in parallel: each is a process that mostly waits. */
     private static final int CONCURRENCY = Integer.getInteger("plays.at.once", 8);
-    /** Pairs in each run; {@code -Dplays.pairs=1000} plays all. */
+    /** Pairs in each run; {@code -Dplays.pairs=1000} runs all of them. */
     private static final int PAIRS = Integer.getInteger("plays.pairs", 16);
     private static final long SEED = Long.getLong("plays.seed", 20261202L);
 
--- a/app/src/test/java/holdmux/app/soak/FaultSoakTest.java
+++ b/app/src/test/java/holdmux/app/soak/FaultSoakTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A short soak; {@code holdmux soak --seeds 20 --syscalls} is the long one. */
+/** A short soak with one seed; {@code holdmux soak --seeds 20 --syscalls} runs a long one. */
 class FaultSoakTest {
     private static final int POOLERS = 10, SECONDS = 12;
 
--- a/app/src/test/java/holdmux/app/soak/SoakAuditTest.java
+++ b/app/src/test/java/holdmux/app/soak/SoakAuditTest.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The oracle of the soak sees each rule's break, and nothing where none is broken. */
+/** The oracle of the soak must report each kind of violation, and nothing for a run without violations. */
 class SoakAuditTest {
     private static final long MS = 1_000_000L;
 
     private final SoakAudit audit = new SoakAudit();
 
     private List<String> verdict(Asked request, long arrivedMs, long waitMs, int runs) {
-        audit.asked(request);
+        audit.recordRequest(request);
         return audit.verdict(List.of(new Arrival("s-1", request.id(), arrivedMs * MS, waitMs)), Map.of(request.id(), runs));
     }
 
@@ -43,16 +43,16 @@
         assertViolation("client gone", new SoakAuditTest().verdict(asked(1, 0, 50), 600, 300, 1));
     }
 
-    /** A drain binds 2 s after the agent had it, and until the server is up again. */
+    /** A drain is enforced from 2 s after its delivery until the server is up again. */
     @Test
     void sendAfterDrainGraceIsReported() {
-        long bindsAt = SoakAudit.DRAIN_GRACE_NS / MS + 100;
+        long enforcedFromMs = SoakAudit.DRAIN_GRACE_NS / MS + 100;
         long slack = SoakAudit.IN_FLIGHT_NS / MS;
-        for (long at : new long[] {bindsAt + slack - 1, bindsAt + slack + 1, 20_001}) {
+        for (long at : new long[] {enforcedFromMs + slack - 1, enforcedFromMs + slack + 1, 20_001}) {
             SoakAuditTest each = new SoakAuditTest();
             each.audit.addOutOfService("s-1", 100 * MS, 20_000 * MS);
             List<String> verdict = each.verdict(asked(at - 10, at + 10, 0), at, 900, 1);
-            assertEquals(at == bindsAt + slack + 1, verdict.size() == 1 && verdict.get(0).startsWith("drain"), verdict.toString());
+            assertEquals(at == enforcedFromMs + slack + 1, verdict.size() == 1 && verdict.get(0).startsWith("drain"), verdict.toString());
         }
     }
 
@@ -66,7 +66,7 @@
         assertEquals(4_200 * MS, times.deliveredAt(4_200 * MS, "p1", 9_000 * MS));
     }
 
-    /** What the agent had before a silence binds a process from its first moment, whether or not it was heard. */
+    /** A change that the agent knew before a silence counts for a process from its start, whether or not the process got it. */
     @Test
     void earlierChangeIsDeliveredToNewProcessAtItsStart() {
         DeliveryTimes times = audit.deliveryTimes();
@@ -83,7 +83,7 @@
         times.addReload("p1", 1_000 * MS);
         times.addDelay("p2", 0, 2_000 * MS, 300 * MS);
         assertEquals(5_000 * MS, times.deliveredAt(1_500 * MS, "p1", 9_000 * MS));
-        assertEquals(500 * MS, times.deliveredAt(500 * MS, "p1", 9_000 * MS), "told by the old agent");
+        assertEquals(500 * MS, times.deliveredAt(500 * MS, "p1", 9_000 * MS), "delivered by the old agent");
         assertEquals(1_400 * MS, times.deliveredAt(500 * MS, "p2", 9_000 * MS));
     }
 }
