--- a/pooler/src/main/java/holdmux/ActivePolicy.java
+++ b/pooler/src/main/java/holdmux/ActivePolicy.java
@@ -3,15 +3,18 @@
 import holdmux.config.Config;
 import holdmux.config.Deployment;
 import holdmux.core.Log;
-import holdmux.core.Services;
 import holdmux.core.PolicyControl;
+import holdmux.core.Services;
 import holdmux.discovery.Watch;
 import holdmux.management.EffectiveOrders;
 import java.net.InetSocketAddress;
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Who tells this pooler its policy: its own file until a part that holds the fleet's does, and from then on that part. */
+/**
+ * Applies this pooler's policy from one of two sources: its own configuration file until the fleet's policy is first put in
+ * force, and the fleet's policy from then on.
+ */
 final class ActivePolicy implements PolicyControl {
     private final Services services;
     private final Watch watch;
@@ -25,12 +28,12 @@
         fileDiscovery = services.config().discovery();
     }
 
-    /** Names who puts orders in force; before any part begins. */
+    /** Sets where operators' orders are applied; must be called before any extension starts. */
     void orders(EffectiveOrders orders) {
         this.orders = orders;
     }
 
-    /** Takes up a file that was read anew, as far as the fleet's policy leaves it to the file. */
+    /** Applies a reloaded configuration file, as far as the fleet's policy does not override it. */
     synchronized void applyFile(Config next) {
         fileDiscovery = next.discovery();
         if (fleetPolicyInForce) {
@@ -60,8 +63,8 @@
     }
 
     @Override
-    public void setAdmissionGate(Supplier<String> closed) {
-        services.setAdmissionGate(closed);
+    public void setAdmissionGate(Supplier<String> refusalReason) {
+        services.setAdmissionGate(refusalReason);
     }
 
     @Override
@@ -70,8 +73,8 @@
     }
 
     /**
-     * Whether new requests are taken, as far as the fleet's policy has a say. Takes no lock: whoever answers for the gate
-     * may be putting a policy in force here meanwhile.
+     * Whether new requests are accepted as far as the fleet's policy decides. Takes no lock: the thread that answers for
+     * the admission gate may be applying a policy here at the same time.
      */
     boolean acceptsRequests() {
         return services.admission().policyRefusalReason() == null && !orders.fleetEvacuates();
--- a/pooler/src/main/java/holdmux/Drain.java
+++ b/pooler/src/main/java/holdmux/Drain.java
@@ -4,25 +4,26 @@
 import holdmux.core.Front;
 
 /**
- * The end of a process that was told to end (SIGTERM). It goes on accepting for a while and serving the connections there
- * are for as long as it may live, since their clients would find no other pooler sooner. Every request has its final
- * answer some time before SIGKILL may come, and the process does not end while a client's connection is open: what it
- * had taken and not answered would be lost with it, where SIGKILL excuses what is older.
+ * The shutdown sequence after SIGTERM. The process keeps accepting clients for a while and serves its open connections for
+ * as long as it may live, since their clients would not reach another pooler sooner. Every request gets its final answer
+ * some time before SIGKILL may come. The process does not exit while a client connection is open: an exit would lose
+ * requests that were accepted but not answered, a loss that only SIGKILL excuses.
  */
 final class Drain {
-    /** After SIGTERM new connections keep coming for up to 0.4 s; the rest is margin for a busy core. */
+    /** Clients may still be directed to this process for up to 0.4 s after SIGTERM; the rest is margin for a busy core. */
     private static final long KEEP_ACCEPTING_MS = 600;
-    /** SIGKILL may come this long after SIGTERM and the longest deadline, of which no more than 3 s count. */
+    /** SIGKILL may come this long after SIGTERM plus the longest request deadline, of which at most 3 s count. */
     private static final long KILL_AFTER_DEADLINE_MS = 700, MAX_DEADLINE_MS = 3_000;
-    /** Final answers are given this long before SIGKILL: they still pass through threads of a small share of a core. */
+    /** Final answers are issued this long before SIGKILL: they still pass through threads that share a fraction of a core. */
     private static final long ANSWER_MARGIN_MS = 300;
-    /** Before that connections at rest are closed: time enough for an answer of the usual kind. */
+    /** Idle connections are closed from this long before the final answers on: time enough for an ordinary answer. */
     private static final long IDLE_CLOSE_LEAD_MS = 200;
-    /** A client that does not take its answer is cut off 5 s after it began; where no SIGKILL comes, that is waited for. */
+    /** A client that does not read its answer is disconnected 5 s after the answer began; if no SIGKILL comes, the drain waits for that. */
     private static final long STUCK_CLIENT_MS = 6_000;
+    /** How often the drain checks whether clients are still connected. */
     private static final long POLL_INTERVAL_MS = 20;
 
-    /** The time that has passed since SIGTERM. */
+    /** Measures the time since SIGTERM. */
     interface Timer {
         long elapsedMs();
 
@@ -32,11 +33,11 @@
     private Drain() {}
 
     /**
-     * Returns when no client's connection is open, or where one is stuck long after SIGKILL was due.
+     * Runs the drain. Returns when no client connection is open, or when one is still stuck long after SIGKILL was due.
      *
-     * @param giveUpAll gives each open request its final answer
-     * @param handsOver whether another process of this pooler takes the clients
-     * @param longestMs the longest deadline of a class
+     * @param answerOpenRequests gives each open request its final answer
+     * @param handover           whether another process of this pooler takes over the clients
+     * @param maxDeadlineMs      the longest deadline of any request class
      */
     static void run(Front front, Runnable answerOpenRequests, boolean handover, long maxDeadlineMs, Timer timer)
             throws InterruptedException {
@@ -49,12 +50,13 @@
             timer.sleep(KEEP_ACCEPTING_MS);
         }
         front.stopAccepting();
-        for (long elapsedMs = timer.elapsedMs(); front.openClients() > 0 && elapsedMs < killMs + STUCK_CLIENT_MS; elapsedMs = timer.elapsedMs()) {
+        for (long elapsedMs = timer.elapsedMs(); front.openClients() > 0 && elapsedMs < killMs + STUCK_CLIENT_MS;
+                elapsedMs = timer.elapsedMs()) {
             if (elapsedMs >= finalAnswerMs - IDLE_CLOSE_LEAD_MS) {
                 front.closeWhenIdle();
             }
             if (elapsedMs >= finalAnswerMs) {
-                answerOpenRequests.run(); // time and again: one may have been read just before its connection was to end
+                answerOpenRequests.run(); // repeated: a request may have been read just before its connection was to be closed
             }
             timer.sleep(POLL_INTERVAL_MS);
         }
--- a/pooler/src/main/java/holdmux/Reloader.java
+++ b/pooler/src/main/java/holdmux/Reloader.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 
-/** Takes the configuration up anew at each SIGHUP; one that cannot be used leaves the old one in force. */
+/** Reloads the configuration at each SIGHUP; an unusable one leaves the old one in force. */
 final class Reloader implements Runnable {
     /**
-     * How long a file that cannot be taken up is read again: nobody sends the signal twice, and the old address of discovery
-     * may never tell anything again. What the new one has counts 4 s after the signal and binds 2 s later.
+     * How long a file that cannot be loaded is retried: the signal is not sent twice, and the old discovery address may never
+     * answer again. A change known to the new agent counts as announced 4 s after the signal and is binding 2 s later.
      */
     private static final long RETRY_PERIOD_NS = 6_000 * Clock.MS;
-    /** The pauses before a file is read again that the system failed to read, for want of a descriptor or by a disk's fault. */
+    /** Delays before a retry after the system failed to read the file, for lack of a descriptor or because of a disk fault. */
     private static final long[] READ_RETRY_DELAYS_MS = {20, 50, 100, 200, 400, 800, 1_600, 3_000};
-    /** The pause before a file is read again that is no configuration: it may have been half written. */
+    /** Delay before a retry of a file that is not a valid configuration: it may have been only half written. */
     private static final long INVALID_RETRY_DELAY_MS = 500;
 
-    /** Reads the file as it is now. */
+    /** Reads the configuration file in its present state. */
     interface ConfigSource {
         Config read(Config current) throws IOException;
     }
@@ -55,12 +55,12 @@
         while (true) {
             sighups.acquireUninterruptibly();
             while (!reload()) {
-                // another signal came while the file could not be taken up
+                // another signal arrived while the file could not be loaded: start over
             }
         }
     }
 
-    /** Takes the file up, or gives it up after a while; false where a further signal came meanwhile. */
+    /** Loads the file, with retries for a limited time. Returns false if another signal arrived meanwhile. */
     private boolean reload() {
         long deadlineNs = System.nanoTime() + RETRY_PERIOD_NS;
         boolean refused = false;
@@ -96,12 +96,12 @@
         }
     }
 
-    /** Waits for so long, or for the next signal; whether that came. */
+    /** Waits for the given time or until the next SIGHUP. Returns whether a SIGHUP arrived. */
     private boolean sighupWithin(long ms) {
         try {
             return sighups.tryAcquire(ms, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
-            return false; // nothing interrupts this thread on purpose; it reads again at once
+            return false; // this thread is never interrupted on purpose; retry at once
         }
     }
 
--- a/pooler/src/main/java/holdmux/Serve.java
+++ b/pooler/src/main/java/holdmux/Serve.java
@@ -6,18 +6,18 @@
 import holdmux.core.Clock;
 import holdmux.core.Counters;
 import holdmux.core.Deadlines;
+import holdmux.core.Extension;
 import holdmux.core.Front;
 import holdmux.core.Fronts;
 import holdmux.core.Log;
-import holdmux.core.Extension;
 import holdmux.core.Services;
 import holdmux.core.StartupRetry;
 import holdmux.core.Workers;
 import holdmux.decision.SplitterApi.RequestClass;
 import holdmux.discovery.Watch;
+import holdmux.management.EffectiveOrders;
 import holdmux.management.ManagementServer;
 import holdmux.management.Operations;
-import holdmux.management.EffectiveOrders;
 import holdmux.management.StateFile;
 import holdmux.upgrade.Upgrade;
 import java.io.IOException;
@@ -30,17 +30,17 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** One pooler as a process: wiring, signals and the drain. */
+/** Runs one pooler as a process: wiring, signals and the drain. */
 public final class Serve {
-    /** The counters go to the log once a minute, as is usual for poolers. */
+    /** The counters are logged once a minute, as poolers commonly do. */
     private static final long REPORT_INTERVAL_MS = 60_000;
 
     private Serve() {}
 
-    /** Serves until the process is told to end; the exit code where it could not begin. */
-    public static int run(List<Extension> parts) throws IOException {
+    /** Serves until the process is told to end. Returns the exit status, which is 1 for an invalid configuration. */
+    public static int run(List<Extension> extensions) throws IOException {
         try {
-            serve(parts);
+            serve(extensions);
             return 0;
         } catch (ConfigException e) {
             System.err.println("holdmux: " + e.getMessage());
@@ -48,14 +48,14 @@
         }
     }
 
-    /** {@code holdmux.Serve}: the pooler alone, as the tests of its process start it. */
+    /** Runs the pooler without extensions; the process tests start it this way. */
     public static void main(String[] args) throws IOException {
         System.exit(run(List.of()));
     }
 
-    private static void serve(List<Extension> parts) throws IOException {
+    private static void serve(List<Extension> extensions) throws IOException {
         Semaphore sighups = new Semaphore(0);
-        // before anything else: unhandled, this signal ends a virtual machine
+        // before anything else: an unhandled SIGHUP terminates the virtual machine
         boolean sighupIgnored = Signal.handle(new Signal("HUP"), signal -> sighups.release()) == SignalHandler.SIG_IGN;
         if (sighupIgnored) {
             Log.warn("started with SIGHUP ignored, as nohup does: the configuration cannot be taken up anew");
@@ -66,7 +66,7 @@
         });
         Clock clock = new Clock();
         Config config = load(clock.now());
-        Pooler pooler = new Pooler(config, parts, clock);
+        Pooler pooler = new Pooler(config, extensions, clock);
         Services services = pooler.services();
         Counters counters = services.counters();
         Balancer balancer = services.balancer();
@@ -99,8 +99,8 @@
             Workers.restartingThread("management", counters, new ManagementServer(config.management(), operations, counters)).start();
         }
         start(pooler::warmUp, () -> {
-            for (Extension part : parts) {
-                part.start(activePolicy);
+            for (Extension extension : extensions) {
+                extension.start(activePolicy);
             }
             if (takesOver) {
                 pooler.awaitReady();
@@ -112,30 +112,30 @@
         pooler.run();
     }
 
-    /** The configuration; a file that the system cannot read for a moment is read again. */
+    /** Loads the configuration; a file that the system cannot read for a moment is retried. */
     private static Config load(long now) throws IOException {
         AtomicReference<Config> config = new AtomicReference<>();
         StartupRetry.run("the configuration cannot be read", () -> config.set(Config.load(System.getenv(), now)));
         return config.get();
     }
 
-    /** A process that was told to end during its start takes nobody in: whoever came would be cut off by its exit. */
+    /** Starts listening, unless SIGTERM came during the start: clients accepted then would be cut off by the exit. */
     static void listen(Front front, AtomicBoolean terminating) throws IOException, InterruptedException {
         if (terminating.get()) {
             Log.info("told to end before it listened");
-            Thread.currentThread().join(); // for ever: the drain ends the process
+            Thread.currentThread().join(); // blocks for ever: the drain ends the process
         }
         front.listen();
     }
 
-    /** One part of a start; may block. */
+    /** One step of the start; may block. */
     interface Step {
         void run() throws IOException, InterruptedException;
     }
 
     /**
-     * Listens last: what came in while the code is cold would wait beyond its time and then keep others waiting, where a
-     * refused connection sends its client elsewhere at once. An older process that serves meanwhile is heard out before.
+     * Listens last: requests accepted while the code is cold would wait past their deadline and then delay others, whereas a
+     * refused connection sends its client elsewhere at once. Before that, the state of an older process is synchronised.
      */
     static void start(Runnable warmUp, Step syncWithOlder, Step listen) throws IOException {
         warmUp.run();
@@ -143,7 +143,7 @@
             syncWithOlder.run();
             listen.run();
         } catch (InterruptedException e) {
-            throw new InterruptedIOException("interrupted before it listened");
+            throw new InterruptedIOException("interrupted before listening");
         }
     }
 
@@ -154,7 +154,7 @@
         });
     }
 
-    /** SIGTERM: see {@link Drain}. */
+    /** Handles SIGTERM; see {@link Drain}. */
     private static void drain(Fronts fronts, Balancer balancer, Upgrade upgrade, Counters counters) {
         try {
             Log.info("draining");
@@ -174,7 +174,7 @@
             });
             Log.info("ends with " + fronts.openClients() + " clients; " + counters);
         } catch (InterruptedException e) {
-            Log.error("the drain was cut short", e);
+            Log.error("the drain was interrupted", e);
         }
         Log.flush();
     }
--- a/pooler/src/main/java/holdmux/ServerListApplier.java
+++ b/pooler/src/main/java/holdmux/ServerListApplier.java
@@ -8,28 +8,29 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Brings lists of servers into force. Where lists are pushed, all that the agent has counts as told from a process's first
- * moment, so nothing is sent by the list of the configuration before discovery has confirmed it: until then requests are
- * refused. Where discovery tells only when asked, that list serves until an answer comes.
+ * Puts server lists from discovery in force. Where lists are pushed, a process is held to everything the agent knows from
+ * its first moment, so the configured list is not used before discovery has confirmed it, and requests are refused until
+ * then. Where discovery answers only when asked, the configured list is used until the first answer arrives.
  */
 final class ServerListApplier implements ListListener {
     /**
-     * How long readiness waits for discovery. Where lists are pushed it is as long as the start leaves: a restarted process
-     * has to be ready within 6 s, of which the virtual machine takes one or two on a busy core.
+     * How long readiness waits for discovery. Where lists are pushed it waits as long as the start allows: a restarted process
+     * has to be ready within 6 s, of which starting the virtual machine takes one or two on a busy core.
      */
     private static final long PUSH_READY_WAIT_MS = 4_000, SUBSCRIBE_READY_WAIT_MS = 1_000;
 
     private final Services services;
     private final CountDownLatch ready;
     private final boolean mustSubscribe;
-    /** {@code ready} is opened once discovery has confirmed the list or was waited for long enough. */
+
+    /** {@code ready} is counted down once discovery has confirmed the list or the wait for it has elapsed. */
     ServerListApplier(Services services, CountDownLatch ready) {
         this.services = services;
         this.ready = ready;
         mustSubscribe = services.config().deployment().settings().mustSubscribe();
     }
 
-    /** Before any request: what is served by until discovery has answered. */
+    /** Puts the configured list in force until discovery has answered. Must be called before any request is taken. */
     void start() {
         if (!mustSubscribe) {
             distrusted();
@@ -60,7 +61,7 @@
     private void onReadyWaitElapsed(long waitMs) {
         if (ready.getCount() > 0) {
             Log.warn("discovery has not confirmed its list within " + waitMs + " ms: "
-                    + (mustSubscribe ? "the list of the configuration is served from" : "requests are refused until it has"));
+                    + (mustSubscribe ? "requests are served by the list of the configuration" : "requests are refused until it has"));
         }
         ready.countDown();
     }
--- a/pooler/src/main/java/holdmux/simhost/SimHost.java
+++ b/pooler/src/main/java/holdmux/simhost/SimHost.java
@@ -6,8 +6,8 @@
 import holdmux.decision.SplitterApi.Event;
 import holdmux.decision.SplitterApi.Settings;
 import java.io.BufferedInputStream;
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts the instances of the decision module on the simulator's wire. */
+/** Hosts instances of the decision module for the simulator, over its wire protocol on standard input and output. */
 public final class SimHost implements WireReader.Sink {
-    /** One front: its module and what came in for it in this batch. */
+    /** One instance of the decision module and its events in the current batch. */
     private static final class HostedInstance {
         final ReadWriteSplitter splitter;
         final long zeroNs;
@@ -34,7 +34,7 @@
     private final Map<Integer, HostedInstance> instances = new HashMap<>();
     private final List<Integer> pendingInstances = new ArrayList<>();
 
-    /** Plays batches from standard input until it ends; the exit status. */
+    /** Processes batches from standard input until its end. Returns the exit status. */
     public static int run() {
         InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16);
         return run(in, new FileOutputStream(FileDescriptor.out), System.err);
--- a/pooler/src/main/java/holdmux/simhost/WireException.java
+++ b/pooler/src/main/java/holdmux/simhost/WireException.java
@@ -1,6 +1,6 @@
 package holdmux.simhost;
 
-/** Input that is not what the wire promises; the message is one plain line. */
+/** Thrown for input that violates the wire protocol. The message is a single line. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/pooler/src/main/java/holdmux/simhost/WireReader.java
+++ b/pooler/src/main/java/holdmux/simhost/WireReader.java
@@ -23,9 +23,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads batches of the simulator's wire: bytes to events. */
+/** Decodes batches of the simulator's wire protocol into events. */
 final class WireReader {
-    /** What the reader finds in a batch, in the order of the records. */
+    /** Receives the records of a batch in their order. */
     interface Sink {
         void spawn(int instance, long seed, String config);
 
@@ -33,17 +33,19 @@
 
         void event(int instance, Event event);
 
-        /** The clock time that positions count from, for this instance. */
+        /** The clock time that the positions of this instance are relative to. */
         long zeroNs(int instance);
     }
 
     private static final int HEADER_BYTES = 16;
+    /** Encoded size of one entry of a server list. */
     private static final int LISTING_BYTES = 27;
     private static final float[] NO_REPORT = new float[0];
     private static final long NS_PER_MS = 1_000_000L;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     private final InputStream in;
+    /** Registered server lists by list number; null where none was registered yet. */
     private final List<List<Listing>> serverLists = new ArrayList<>();
     private ByteBuffer frame = ByteBuffer.allocate(1 << 16);
     private int records;
@@ -55,7 +57,7 @@
         }
     }
 
-    /** Reads a whole frame; false at the end of input. */
+    /** Reads the next batch whole. Returns false at the end of input. */
     boolean readBatch() throws IOException {
         frame.clear();
         int bytesRead = in.readNBytes(frame.array(), 0, HEADER_BYTES);
@@ -82,11 +84,12 @@
         return true;
     }
 
+    /** The simulated time of the current batch. */
     long batchTimeNs() {
         return frame.getLong(0);
     }
 
-    /** Hands all records of the current frame to the sink. */
+    /** Passes all records of the current batch to the sink. */
     void decode(Sink sink) {
         try {
             for (int i = 0; i < records; i++) {
@@ -128,7 +131,7 @@
         int options = u8();
         long remaining = frame.getLong();
         float tokenMs = frame.getFloat();
-        // the age is rounded down by one ulp, so that the position needed is never understated
+        // the age is rounded down by one ulp, so that the required position is never understated
         long age = tokenMs > 0 ? Math.max(1, (long) (Math.nextDown(tokenMs) * (double) NS_PER_MS)) : 0;
         long effort = frame.getLong();
         long session = frame.getLong();
@@ -178,7 +181,7 @@
             return new ListChanged(mode, generation, List.of());
         }
         if (listNumber >= serverLists.size() || serverLists.get(listNumber) == null) {
-            throw new WireException("a targets event names list " + listNumber + ", which was not given");
+            throw new WireException("a targets event names list " + listNumber + ", which was not registered");
         }
         return new ListChanged(mode, generation, serverLists.get(listNumber));
     }
@@ -187,10 +190,10 @@
         int listNumber = u8();
         int count = frame.getInt();
         if (listNumber >= serverLists.size()) {
-            throw new WireException("a register event has the list number " + listNumber);
+            throw new WireException("a register event has the invalid list number " + listNumber);
         }
         if (count < 0 || (long) count * LISTING_BYTES > frame.remaining()) {
-            throw new WireException("a register event counts " + count + " lines, more than its batch holds");
+            throw new WireException("a register event states " + count + " entries, more than its batch holds");
         }
         List<Listing> listings = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -204,7 +207,7 @@
         int zone = u8();
         int availability = u8();
         if (availability > 2) {
-            throw new WireException("a list line has the unknown availability " + availability);
+            throw new WireException("a server list entry has the unknown availability " + availability);
         }
         int group = u16();
         long store = store();
--- a/pooler/src/main/java/holdmux/simhost/WireWriter.java
+++ b/pooler/src/main/java/holdmux/simhost/WireWriter.java
@@ -18,19 +18,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Writes replies of the simulator's wire: actions to bytes. */
+/** Encodes actions into replies of the simulator's wire protocol. */
 final class WireWriter {
     private static final int HEADER_BYTES = 8;
+    /** Upper bound on the fixed-size fields of a record. */
     private static final int MAX_FIXED_BYTES = 64;
 
     private ByteBuffer frame = ByteBuffer.allocate(1 << 14);
     private int records;
 
+    /** Starts a new, empty reply. */
     void beginReply() {
         frame.clear().position(HEADER_BYTES);
         records = 0;
     }
 
+    /** Appends one action of an instance. */
     void write(int instance, Action action) {
         if (action instanceof Transmit a) {
             beginRecord(1000, instance).putLong(a.id());
@@ -62,12 +65,13 @@
         }
     }
 
-    /** Reports that the decision code of an instance broke. */
+    /** Appends a report that the decision code of an instance threw an exception. */
     void crash(int instance, String message) {
         beginRecord(1090, instance);
         bytes(message.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Completes the header and sends the reply. */
     void flushTo(OutputStream out) throws IOException {
         frame.putInt(0, records).putInt(4, frame.position());
         out.write(frame.array(), 0, frame.position());
--- a/pooler/src/main/java/holdmux/statement/ChunkedText.java
+++ b/pooler/src/main/java/holdmux/statement/ChunkedText.java
@@ -7,35 +7,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Bytes that lie in one array or, where they are too many, in a chain of pooled buffers, all full but the last. */
+/** The bytes of a text, stored in one array or, if there are too many, in a list of pooled buffers that are all full but the last. */
 public final class ChunkedText {
+    /** Bytes decoded at a time when UTF-8 is validated. */
     private static final int WINDOW = 4_096;
 
     private final List<byte[]> parts;
     private final boolean pooled;
+    /** Length in bytes. */
     public final int length;
 
-    /** {@code pooled}: the parts are buffers of {@link BufferPool#BUFFER_SIZE}. */
+    /** {@code pooled}: whether the parts are buffers of {@link BufferPool#BUFFER_SIZE} bytes. */
     public ChunkedText(List<byte[]> parts, int length, boolean pooled) {
         this.parts = parts;
         this.length = length;
         this.pooled = pooled;
     }
 
+    /** A text that is the first {@code length} bytes of an array, which is not copied. */
     public static ChunkedText of(byte[] bytes, int length) {
         return new ChunkedText(List.of(bytes), length, false);
     }
 
-    /** The same bytes without the last. */
+    /** The same text without its last byte; shares the bytes. */
     public ChunkedText withoutLastByte() {
         return new ChunkedText(parts, length - 1, pooled);
     }
 
+    /** The byte at an index. */
     public byte byteAt(int index) {
         return pooled ? parts.get(index / BufferPool.BUFFER_SIZE)[index % BufferPool.BUFFER_SIZE] : parts.get(0)[index];
     }
 
-    /** The first place from here on that holds this byte; {@link #length} if none does. */
+    /** The first index at or after {@code from} that holds the target byte; {@link #length} if there is none. */
     public int indexOfOrEnd(char target, int from) {
         for (ByteBuffer view : views(from, length)) {
             byte[] part = view.array();
@@ -50,6 +54,7 @@
         return length;
     }
 
+    /** Decodes the bytes between two indices as UTF-8. */
     public String substring(int from, int to) {
         byte[] bytes = new byte[Math.max(0, to - from)];
         ByteBuffer copy = ByteBuffer.wrap(bytes);
@@ -57,7 +62,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The bytes between two places, where they lie. */
+    /** Views of the bytes between two indices, without copying. */
     public List<ByteBuffer> views(int from, int to) {
         List<ByteBuffer> views = new ArrayList<>();
         int size = pooled ? BufferPool.BUFFER_SIZE : Math.max(1, length);
@@ -69,6 +74,7 @@
         return views;
     }
 
+    /** Whether the bytes are valid UTF-8. */
     public boolean isUtf8() {
         return isAscii() || decodesAsUtf8();
     }
@@ -99,13 +105,13 @@
                 if (decoder.decode(window.flip(), discarded, false).isError()) {
                     return false;
                 }
-                window.compact(); // what begins here may end in the next part
+                window.compact(); // a character that begins here may end in the next part
             }
         }
         return !decoder.decode(window.flip(), discarded.clear(), true).isError();
     }
 
-    /** Gives back the buffers it lies in. */
+    /** Returns the pooled buffers that store this text. */
     public void release(BufferPool buffers) {
         if (pooled) {
             parts.forEach(buffers::release);
--- a/pooler/src/main/java/holdmux/statement/SqlState.java
+++ b/pooler/src/main/java/holdmux/statement/SqlState.java
@@ -1,6 +1,6 @@
 package holdmux.statement;
 
-/** The SQLSTATE codes that this program sends or acts on. */
+/** SQLSTATE codes that the pooler sends or acts on. */
 public final class SqlState {
     public static final String TRANSACTION_RESOLUTION_UNKNOWN = "08007";
     public static final String PROTOCOL_VIOLATION = "08P01";
--- a/pooler/src/main/java/holdmux/statement/Statement.java
+++ b/pooler/src/main/java/holdmux/statement/Statement.java
@@ -8,30 +8,35 @@
 import java.util.Map;
 
 /**
- * One statement with the request's figures in its closing comment. It goes on to servers as it came, but for
- * {@code d}, which says there how long this pooler will wait.
+ * An SQL statement with the request's parameters as name=value pairs in its trailing comment. It is forwarded to servers
+ * unchanged except for {@code d}, which is replaced by the time that this pooler will wait for the answer.
  */
 public final class Statement {
-    /** Longest literal taken: a value of 4 MiB in hexadecimal behind its {@code \x}. */
+    /** Longest literal accepted: a value of 4 MiB in hexadecimal, after its {@code \x} prefix. */
     public static final int MAX_LITERAL_BYTES = 2 + 2 * 4 * 1024 * 1024;
-    /** Longest key taken, the first literal: what is looked up is a short code. */
+    /** Longest key accepted, which is the first literal: keys are short codes. */
     private static final int MAX_KEY_BYTES = 64 * 1024;
-    /** Longest comment read: its few short values fit many times over. */
+    /** Longest comment accepted: its few short values fit many times over. */
     private static final int MAX_COMMENT_BYTES = 1_024;
-    /** Longest statement: the longest literal and what else there may be. */
+    /** Longest statement accepted: the longest literal, the longest key, and the rest of the text with its comment. */
     public static final int MAX_BYTES = MAX_LITERAL_BYTES + MAX_KEY_BYTES + 2 * MAX_COMMENT_BYTES;
 
+    /** Whether this is an INSERT rather than a SELECT. */
     public final boolean write;
-    /** The first quoted literal: the key, which names the session in classes that have sessions. */
+    /** The first quoted literal, which identifies the session in request classes that have sessions. */
     public final String key;
+    /** Name of the request class ({@code c}). */
     public final String className;
+    /** Whether the client marked the request as a retry ({@code r=1}). */
     public final boolean retry;
+    /** How long the client waits for the answer ({@code d}). */
     public final long timeoutMs;
+    /** Number of the server group ({@code cluster}). */
     public final int group;
-    /** The carried position of the session's last write in Unix milliseconds; 0 for none. */
+    /** Position of the session's last write that the client carries ({@code after}), in Unix milliseconds; 0 for none. */
     public final long positionMs;
     private final ChunkedText text;
-    /** Where the value of d lies in the text. */
+    /** Indices of the value of {@code d} in the text. */
     private final int timeoutFrom, timeoutTo;
 
     private Statement(ChunkedText text, boolean write, String key, Map<String, String> values, int timeoutFrom, int timeoutTo)
@@ -43,13 +48,13 @@
         this.timeoutTo = timeoutTo;
         required(values, "id");
         className = required(values, "c");
-        timeoutMs = parseNumber(values, "d", 1, 3_600_000); // an hour: no client waits longer, and sums cannot overflow
-        group = (int) parseNumber(values, "cluster", 0, 65_535); // the module's numbering on the simulator's wire
+        timeoutMs = parseNumber(values, "d", 1, 3_600_000); // one hour: no client waits longer, and sums cannot overflow
+        group = (int) parseNumber(values, "cluster", 0, 65_535); // a 16-bit number in the decision module and on the simulator's wire
         positionMs = values.containsKey("after") ? parseNumber(values, "after", 0, Long.MAX_VALUE / 2_000_000) : 0;
         retry = values.getOrDefault("r", "0").equals("1");
     }
 
-    /** Parses a statement in UTF-8, which it keeps. */
+    /** Parses a statement, which must be UTF-8. The statement keeps a reference to the text. */
     public static Statement parse(ChunkedText text) throws StatementException {
         if (!text.isUtf8()) {
             throw new StatementException(SqlState.CHARACTER_NOT_IN_REPERTOIRE, "the statement is not UTF-8");
@@ -57,7 +62,7 @@
         int length = text.length;
         boolean write = startsWith(text, "INSERT ");
         if (!write && !startsWith(text, "SELECT ")) {
-            throw new StatementException(SqlState.SYNTAX_ERROR, "only SELECT and INSERT are served here");
+            throw new StatementException(SqlState.SYNTAX_ERROR, "only SELECT and INSERT are supported");
         }
         String key = null;
         int commentFrom = -1;
@@ -66,19 +71,21 @@
             if (current == '\'') {
                 int end = closingQuote(text, i + 1);
                 if (end - i - 1 > (key == null ? MAX_KEY_BYTES : MAX_LITERAL_BYTES)) {
-                    throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED, "a value over 4 MiB");
+                    throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED,
+                            "a literal is too long: at most 64 KiB for the key, 4 MiB for a value");
                 }
                 key = key != null ? key : text.substring(i + 1, end);
                 i = end;
             } else if (current == ';') {
-                throw new StatementException(SqlState.SYNTAX_ERROR, "one statement per query");
+                throw new StatementException(SqlState.SYNTAX_ERROR, "only one statement per query is allowed");
             } else if (current == '/' && i + 1 < length && text.byteAt(i + 1) == '*') {
                 commentFrom = i + 2;
             }
         }
         int commentTo = length - 2;
-        if (key == null || commentFrom < 0 || commentTo < commentFrom || text.byteAt(commentTo) != '*' || text.byteAt(commentTo + 1) != '/') {
-            throw new StatementException(SqlState.SYNTAX_ERROR, "the statement must name a key and end in a comment");
+        if (key == null || commentFrom < 0 || commentTo < commentFrom
+                || text.byteAt(commentTo) != '*' || text.byteAt(commentTo + 1) != '/') {
+            throw new StatementException(SqlState.SYNTAX_ERROR, "the statement must contain a quoted key and end in a comment");
         }
         return parseComment(text, write, key, commentFrom, commentTo);
     }
@@ -88,7 +95,7 @@
         if (to - from > MAX_COMMENT_BYTES) {
             throw new StatementException(SqlState.PROGRAM_LIMIT_EXCEEDED, "the comment is too long");
         }
-        // one char a byte, so that places in the string are places in the text
+        // one char per byte, so that indices in the string are indices in the text
         StringBuilder chars = new StringBuilder();
         for (int i = from; i < to; i++) {
             chars.append((char) (text.byteAt(i) & 0xff));
@@ -118,14 +125,14 @@
         return new Statement(text, write, key, values, timeoutFrom, timeoutTo);
     }
 
-    /** The place of the quote that ends a literal; a doubled quote is part of it. */
+    /** The index of the quote that ends a literal; a doubled quote is part of the literal. */
     private static int closingQuote(ChunkedText text, int from) throws StatementException {
         for (int i = text.indexOfOrEnd('\'', from); i < text.length; i = text.indexOfOrEnd('\'', i + 2)) {
             if (i + 1 == text.length || text.byteAt(i + 1) != '\'') {
                 return i;
             }
         }
-        throw new StatementException(SqlState.SYNTAX_ERROR, "a literal does not end");
+        throw new StatementException(SqlState.SYNTAX_ERROR, "unterminated quoted literal");
     }
 
     private static boolean startsWith(ChunkedText text, String keyword) {
@@ -135,7 +142,7 @@
     private static String required(Map<String, String> values, String name) throws StatementException {
         String value = values.get(name);
         if (value == null || value.isEmpty()) {
-            throw new StatementException(SqlState.SYNTAX_ERROR, "the comment must hold " + name);
+            throw new StatementException(SqlState.SYNTAX_ERROR, "the comment must contain a value for " + name);
         }
         return value;
     }
@@ -148,12 +155,12 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
-        throw new StatementException(SqlState.INVALID_PARAMETER_VALUE, "the comment's " + name + " is no valid number");
+        throw new StatementException(SqlState.INVALID_PARAMETER_VALUE, "the comment's " + name + " is not a valid number");
     }
 
-    /** The session that the key names; the same key gives the same number. */
+    /** The session number: a hash of the key, so that the same key always gives the same number. */
     public long session() {
         long hash = 0xcbf29ce484222325L; // FNV-1a
         for (byte b : key.getBytes(StandardCharsets.UTF_8)) {
@@ -162,18 +169,18 @@
         return hash == 0 ? 1 : hash; // 0 stands for no session
     }
 
-    /** How many bytes its text has. */
+    /** Length of the text in bytes. */
     public int length() {
         return text.length;
     }
 
-    /** Copies its text, as it was parsed. */
+    /** Copies the text, as it was parsed, to the start of an array. */
     public void copyTo(byte[] bytes) {
         ByteBuffer copy = ByteBuffer.wrap(bytes);
         text.views(0, text.length).forEach(copy::put);
     }
 
-    /** The text for a server that is given this long, in pieces. */
+    /** The text to send to a server, in pieces, with {@code d} set to the given limit. */
     public List<ByteBuffer> text(long limitMs) {
         List<ByteBuffer> parts = new ArrayList<>();
         parts.addAll(text.views(0, timeoutFrom));
--- a/pooler/src/main/java/holdmux/upgrade/Link.java
+++ b/pooler/src/main/java/holdmux/upgrade/Link.java
@@ -5,21 +5,21 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** Frames of one size between two processes of one pooler. Any thread may send; one thread receives. */
+/** A connection between two processes of one pooler that carries fixed-size frames. Any thread may send; one thread receives. */
 final class Link implements Closeable {
-    /** What a frame says. */
+    /** Frame types. The ordinal is sent on the wire. */
     enum Kind {
-        /** Session {@code b} of group {@code a} has written at {@code c}; session 0 stands for the group's floor. */
+        /** Session {@code b} of group {@code a} has written at position {@code c}; session 0 stands for the group's floor. */
         PAST_WRITE(false),
-        /** The same of a write whose client waits for its answer. */
+        /** Like {@link #PAST_WRITE}, for a write whose client is still waiting for its answer. */
         PENDING_WRITE(true),
-        /** One more frame that asked for a word is taken in. */
+        /** One more frame that needs an acknowledgement has been processed. */
         ACK(false),
-        /** All writes so far have been told. */
+        /** All writes up to now have been sent. */
         SYNCED(false),
         /** The operators' orders have changed. */
         ORDERS_CHANGED(true),
-        /** The sender holds {@code a} clients and {@code b} connections to servers. */
+        /** The sender holds {@code a} client connections and {@code b} server connections. */
         USAGE(false),
         /** The sender serves clients. */
         SERVING(false);
@@ -31,9 +31,10 @@
         }
     }
 
+    /** One message; the meaning of {@code a}, {@code b} and {@code c} depends on the kind. */
     record Frame(Kind kind, long a, long b, long c) {}
 
-    /** The kind as an int, an int that is spare, and three longs. */
+    /** Size of an encoded frame: the kind as an int, an unused int, and three longs. */
     static final int FRAME_BYTES = 2 * Integer.BYTES + 3 * Long.BYTES;
 
     private final SocketChannel channel;
@@ -44,7 +45,7 @@
         this.channel = channel;
     }
 
-    /** Returns how many frames sent so far ask for a word, this one among them. */
+    /** Sends a frame. Returns how many of the frames sent so far need an acknowledgement, this one included. */
     synchronized long send(Frame frame) throws IOException {
         sentNeedingAck += frame.kind().needsAck ? 1 : 0;
         ByteBuffer out = encode(frame);
@@ -54,12 +55,12 @@
         return sentNeedingAck;
     }
 
-    /** The next frame; an {@link IOException} at the end of the other process. */
+    /** Blocks for the next frame; throws an {@link IOException} once the other process has closed the connection. */
     Frame receive() throws IOException {
         in.clear();
         while (in.hasRemaining()) {
             if (channel.read(in) < 0) {
-                throw new IOException("the other process has ended");
+                throw new IOException("the other process closed the connection");
             }
         }
         return decode(in.flip());
@@ -73,7 +74,7 @@
     static Frame decode(ByteBuffer bytes) throws IOException {
         int kind = bytes.getInt();
         if (kind < 0 || kind >= Kind.values().length) {
-            throw new IOException("a frame of kind " + kind);
+            throw new IOException("unknown frame kind " + kind);
         }
         bytes.getInt();
         return new Frame(Kind.values()[kind], bytes.getLong(), bytes.getLong(), bytes.getLong());
@@ -84,7 +85,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // closing is all that was wanted
+            // nothing left to do
         }
     }
 }
--- a/pooler/src/main/java/holdmux/upgrade/Upgrade.java
+++ b/pooler/src/main/java/holdmux/upgrade/Upgrade.java
@@ -6,8 +6,8 @@
 import holdmux.core.Deadlines;
 import holdmux.core.Log;
 import holdmux.core.OtherProcess;
-import holdmux.core.WriteListener;
 import holdmux.core.Workers;
+import holdmux.core.WriteListener;
 import holdmux.decision.SplitterApi.LastWrite;
 import holdmux.upgrade.Link.Frame;
 import holdmux.upgrade.Link.Kind;
@@ -26,49 +26,61 @@
 import java.util.function.Supplier;
 
 /**
- * The overlap of two processes of one pooler, when a new version starts under load: the older one listens on a socket in
- * their folder, the newer one finds it there. They tell each other the writes of sessions, the operators' orders and
- * what they hold of the common limits.
+ * Coordinates two processes of one pooler that overlap while a new version starts under load. The older process listens on
+ * a Unix domain socket in their common directory, where the newer one finds it. They exchange the writes of sessions,
+ * changes of the operators' orders and their usage of the common connection limits.
  */
 public final class Upgrade implements WriteListener {
-    /** What this process has to tell and how it takes in what it is told. */
+    /**
+     * This process's state as the other process needs it, and the handlers for what the other process sends.
+     *
+     * @param writes            the session writes known here
+     * @param recordWrite       takes in a write made through the other process
+     * @param refreshOrders     rereads the operators' orders
+     * @param clientConnections client connections open here
+     * @param serverConnections server connections open here
+     */
     public record LocalState(Supplier<List<LastWrite>> writes, Consumer<LastWrite> recordWrite, Runnable refreshOrders,
             IntSupplier clientConnections, IntSupplier serverConnections) {}
 
-    /** How long a word of the other process is waited for; far beyond a pause of its collector on half a core. */
+    /** How long an acknowledgement is awaited; far longer than a garbage collection pause on half a core. */
     private static final long ACK_TIMEOUT_MS = 500;
-    /** How long a newer process waits to be told all; it has 6 s to serve. */
+    /** How long a newer process waits for the older one's writes; it has to serve within 6 s. */
     private static final long SYNC_TIMEOUT_MS = 3_000;
-    /** A process that takes nothing in for so long hangs: the link to it ends, so that sending blocks nobody. */
+    /** A process that reads nothing for this long is considered hung: the link is closed, so that sending blocks nobody. */
     private static final long SEND_TIMEOUT_NS = 2_000 * Clock.MS;
-    /** What is held is told this often: within it the spare descriptors of the caps take up the difference. */
+    /** How often usage is reported; in between, the spare descriptors within the limits absorb the difference. */
     private static final long USAGE_INTERVAL_MS = 20;
+    /** Delay before listening for a newer process is tried again. */
     private static final long LISTEN_RETRY_DELAY_MS = 200;
-    /** A socket refuses for a moment between its making and its listening; one that goes on refusing is dead. */
+    /** A socket refuses connections briefly between being bound and listening; one that keeps refusing belongs to no process. */
     private static final int CONNECT_ATTEMPTS = 3;
 
-    /** Null where the processes have no folder in common: then there is never another. */
+    /** Null if no common directory is configured; then there is never another process. */
     private final Path socketPath;
     private final LocalState local;
-    private final OtherProcess shared;
+    private final OtherProcess otherProcess;
     private final Deadlines deadlines;
     private final Counters counters;
     private final CountDownLatch synced = new CountDownLatch(1);
-    /** All under this object's monitor: the link to the other process, null for none, the frames on it that had its
-     * word, and whether it serves. */
+    /**
+     * Guarded by this object's monitor, as are the next two: the link to the other process (null if there is none), the
+     * number of acknowledgements received on it, and whether the other process serves clients.
+     */
     private Link peer;
     private long acksReceived;
     private boolean peerServes;
 
-    public Upgrade(Path directory, LocalState local, OtherProcess shared, Deadlines deadlines, Counters counters) {
+    /** {@code directory}: the directory that the processes of this pooler have in common, or null. */
+    public Upgrade(Path directory, LocalState local, OtherProcess otherProcess, Deadlines deadlines, Counters counters) {
         socketPath = directory == null ? null : directory.resolve("holdmux.sock");
         this.local = local;
-        this.shared = shared;
+        this.otherProcess = otherProcess;
         this.deadlines = deadlines;
         this.counters = counters;
     }
 
-    /** Finds an older process, if there is one, and starts to follow whoever comes; true if there is. */
+    /** Connects to an older process, if there is one, and starts listening for newer ones. Returns whether there is an older one. */
     public boolean join() {
         if (socketPath == null) {
             return false;
@@ -82,7 +94,7 @@
         return older != null;
     }
 
-    /** The link to the process that made the socket; null if that is gone. */
+    /** Connects to the process that owns the socket; null if it is gone. */
     private Link connectToOlder() {
         for (int i = 0; i < CONNECT_ATTEMPTS; i++) {
             try {
@@ -94,19 +106,19 @@
         return null;
     }
 
-    /** Waits until the older process has told all that a session's reads rest on. */
+    /** Waits until the older process has sent all writes that the reads of a session depend on. */
     public void awaitSynced() throws InterruptedException {
         if (!synced.await(SYNC_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
             Log.warn("upgrade: the older process has not told its writes in time");
         }
     }
 
-    /** This process serves clients from now on. */
+    /** Tells the other process that this one serves clients from now on. */
     public void announceServing() {
         send(new Frame(Kind.SERVING, 0, 0, 0));
     }
 
-    /** Whether another process takes the clients that this one sends away. */
+    /** Whether another process serves the clients that this one sends away. */
     public synchronized boolean peerServes() {
         return peer != null && peerServes;
     }
@@ -116,11 +128,12 @@
         sendAndAwaitAck(new Frame(Kind.PENDING_WRITE, write.group(), write.session(), write.positionNs()));
     }
 
-    /** Returns once the other process has taken up the operators' orders too. */
+    /** Announces changed operators' orders. Returns once the other process has applied them too, or after a time-out. */
     public void publishOrdersChange() {
         sendAndAwaitAck(new Frame(Kind.ORDERS_CHANGED, 0, 0, 0));
     }
 
+    /** Talks to the older process until it is gone, then accepts one newer process after another. */
     private void exchangeWithPeers(Link older) {
         if (older != null) {
             receiveUntilClosed(older);
@@ -133,7 +146,7 @@
                     Link newer = new Link(server.accept());
                     attach(newer);
                     Log.info("upgrade: a newer process has started");
-                    // whatever is written from here on is told by itself; what was before is in this list
+                    // writes from here on are sent as they happen; earlier ones are in this list
                     for (LastWrite write : local.writes().get()) {
                         send(new Frame(Kind.PAST_WRITE, write.group(), write.session(), write.positionNs()));
                     }
@@ -153,7 +166,7 @@
         peerServes = false;
     }
 
-    /** Takes in what the other process tells until it ends. */
+    /** Handles frames from the other process until the link is closed. */
     private void receiveUntilClosed(Link link) {
         Workers.newThread("upgrade holds", () -> reportUsage(link)).start();
         try {
@@ -172,9 +185,9 @@
         switch (frame.kind()) {
             case PAST_WRITE, PENDING_WRITE -> local.recordWrite().accept(new LastWrite((int) frame.a(), frame.b(), frame.c()));
             case ORDERS_CHANGED -> local.refreshOrders().run();
-            case ACK -> acksReceived();
+            case ACK -> countAck();
             case SYNCED -> synced.countDown();
-            case USAGE -> shared.update((int) frame.a(), (int) frame.b());
+            case USAGE -> otherProcess.update((int) frame.a(), (int) frame.b());
             case SERVING -> markPeerServing();
         }
         if (frame.kind().needsAck) {
@@ -182,7 +195,7 @@
         }
     }
 
-    private synchronized void acksReceived() {
+    private synchronized void countAck() {
         acksReceived++;
         notifyAll();
     }
@@ -197,10 +210,10 @@
             peer = peer == link ? null : peer;
             notifyAll();
         }
-        shared.clear();
+        otherProcess.clear();
     }
 
-    /** Sends a frame and waits for the other process's word on it; without another there is nothing to wait for. */
+    /** Sends a frame and waits for its acknowledgement; returns at once if there is no other process. */
     private void sendAndAwaitAck(Frame frame) {
         Link link;
         synchronized (this) {
@@ -233,13 +246,13 @@
         }
     }
 
-    /** The number of the frame among those that ask for a word; 0 if the link is broken. */
+    /** Sends a frame. Returns how many frames sent so far need an acknowledgement, this one included; 0 if the link is broken. */
     private long send(Link link, Frame frame) {
         Deadlines.Deadline timeout = deadlines.after(SEND_TIMEOUT_NS, link::close);
         try {
             return link.send(frame);
         } catch (IOException e) {
-            link.close(); // whoever receives on it sees the end
+            link.close(); // the receiving thread then detaches it
             return 0;
         } finally {
             deadlines.cancel(timeout);
--- a/pooler/src/test/java/holdmux/ReloaderTest.java
+++ b/pooler/src/test/java/holdmux/ReloaderTest.java
@@ -28,7 +28,10 @@
 
 @Timeout(20)
 class ReloaderTest {
-    /** Nobody sends the signal twice: a file that the system could not read used to be given up, and discovery's move with it. */
+    /**
+     * The signal is not sent twice: a file that could not be read for a moment used to be given up, and with it the new
+     * discovery address.
+     */
     @Test
     void retriesAfterReadFailures(@TempDir Path directory) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
@@ -40,7 +43,7 @@
             Watch watch = new Watch(AgentAddresses.only(config.discovery()), config.cachedList(), () -> false, 1, counters, list -> { });
             Semaphore sighups = new Semaphore(0);
             Deque<Exception> failures = new ArrayDeque<>(List.of(new FileNotFoundException("Too many open files"),
-                    new IOException("Input/output error"), new ConfigException("not to be used")));
+                    new IOException("Input/output error"), new ConfigException("invalid configuration")));
             InetSocketAddress moved = new InetSocketAddress("127.0.0.1", 8_501);
             Workers.restartingThread("reload", counters, new Reloader(sighups, config, new ActivePolicy(pooler.services(), watch), watch,
                     counters, current -> {
@@ -58,7 +61,7 @@
                 Thread.sleep(1);
             }
             assertEquals(2, counters.get(Counter.RELOAD_RETRIES));
-            assertEquals(config.discovery(), watch.agent(), "what is no configuration is refused at once");
+            assertEquals(config.discovery(), watch.agent(), "an invalid configuration is refused at once");
             sighups.release();
             while (counters.get(Counter.RELOADS) == 0) {
                 Thread.sleep(1);
@@ -67,7 +70,7 @@
         }
     }
 
-    /** A file that was half written at the signal used to be refused for good: the old agent was asked for ever. */
+    /** A file that was half written at the signal used to be refused for good, so that the old agent was asked for ever. */
     @Test
     void retriesAHalfWrittenFile(@TempDir Path directory) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
--- a/pooler/src/test/java/holdmux/ServeTest.java
+++ b/pooler/src/test/java/holdmux/ServeTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process of its own: what signals do to it. */
+/** Runs the pooler as a separate process and checks its reaction to signals. */
 class ServeTest {
     private static ServerSocket agent() throws IOException {
         return new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
     }
 
-    /** Answers the first call with an empty list, then says nothing more; returns what was called. */
+    /** Answers the first call with an empty list and stays silent afterwards. Returns the request line of the call. */
     private static String answerOnce(ServerSocket agent) throws IOException {
         Socket socket = agent.accept();
         BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
@@ -46,7 +46,7 @@
                 .replace("127.0.0.1:5433", "127.0.0.1:" + port);
     }
 
-    /** Unhandled, SIGHUP ends a virtual machine; handled, the new file's discovery is asked for its whole list. */
+    /** An unhandled SIGHUP would end the virtual machine; handled, the discovery agent of the new file is asked for its whole list. */
     @Test
     @Timeout(30)
     void sighupReloadsDiscoveryAddress(@TempDir Path directory) throws Exception {
@@ -56,10 +56,10 @@
             Files.writeString(file, config(first, port));
             Process pooler = serve(directory, file, "log", freePort());
             try {
-                assertEquals("GET /v1/endpoints HTTP/1.1", answerOnce(first), "what the agent has counts at once");
+                assertEquals("GET /v1/endpoints HTTP/1.1", answerOnce(first), "the agent's whole list is in effect at once");
                 Files.writeString(file, "{");
                 sendSighup(pooler);
-                Thread.sleep(300); // two signals close together would count as one
+                Thread.sleep(300); // two signals in quick succession would be merged into one
                 Files.writeString(file, config(second, port));
                 sendSighup(pooler);
                 assertEquals("GET /v1/endpoints HTTP/1.1", answerOnce(second));
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Started below nohup a virtual machine hears no SIGHUP; operators must learn it from the log, not from old settings. */
+    /** Under nohup the virtual machine receives no SIGHUP; operators must learn that from the log, not from stale settings. */
     @Test
     @Timeout(30)
     void warnsWhenSighupIsIgnored(@TempDir Path directory) throws Exception {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Nobody reads the log: it used to block each thread with something to say, the watch of discovery among them. */
+    /** A log that nobody reads used to block every thread that wrote to it, the discovery watch among them. */
     @Test
     @Timeout(40)
     void unreadLogBlocksNoThread(@TempDir Path directory) throws Exception {
@@ -104,7 +104,7 @@
             Process pooler = processBuilder(directory, file, "log", freePort()).redirectOutput(ProcessBuilder.Redirect.PIPE).start();
             try {
                 String longName = "x".repeat(200);
-                agent.setSoTimeout(10_000); // where no more calls come, the test fails rather than waits
+                agent.setSoTimeout(10_000); // if no more calls come, the test fails instead of hanging
                 for (int seq = 42; seq < 42 + 600; seq++) { // a pipe holds 64 KiB
                     answer(agent, seq, longName);
                 }
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Answers one call with a list whose one draining server has this name. */
+    /** Answers one call with a list of one draining server of the given name. */
     private static void answer(ServerSocket agent, int seq, String host) throws IOException {
         try (Socket socket = agent.accept()) {
             new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8)).readLine();
@@ -144,7 +144,7 @@
         return builder.redirectErrorStream(true).redirectOutput(directory.resolve(log).toFile());
     }
 
-    /** The status of a call to the operators' address; tries again until somebody listens there. */
+    /** The HTTP status of a call to the management address; retries until it accepts connections. */
     private static int callManagement(int port, String request) throws Exception {
         while (true) {
             try (Socket socket = new Socket("127.0.0.1", port)) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /** A second start takes over beside the first, which ends at SIGTERM; an order given to the one binds the other. */
+    /** A second process takes over from the first, which ends at SIGTERM; an order given to one of them applies to both. */
     @Test
     @Timeout(40)
     void newerProcessTakesOverFromOlder(@TempDir Path directory) throws Exception {
@@ -193,21 +193,21 @@
         }
     }
 
-    /** Guards against a start behind a crowd: what came while the code was cold was past its time when it was read. */
+    /** Guards against a backlog at the start: requests accepted while the code was cold had passed their deadline when they were read. */
     @Test
     void listensAfterWarmUpAndSync() throws IOException {
         List<String> steps = new ArrayList<>();
-        Serve.start(() -> steps.add("warm"), () -> steps.add("heard"), () -> steps.add("listens"));
-        assertEquals(List.of("warm", "heard", "listens"), steps);
+        Serve.start(() -> steps.add("warmUp"), () -> steps.add("sync"), () -> steps.add("listen"));
+        assertEquals(List.of("warmUp", "sync", "listen"), steps);
     }
 
-    /** SIGTERM between the first line and the listener: who connected then was cut off by the exit. */
+    /** SIGTERM before the start has reached listening: clients that connected after it used to be cut off by the exit. */
     @Test
     void doesNotListenAfterSigterm() throws Exception {
         List<String> calls = new ArrayList<>();
         Front front = (Front) Proxy.newProxyInstance(Front.class.getClassLoader(), new Class<?>[] {Front.class},
                 (proxy, method, args) -> calls.add(method.getName()) ? null : null);
-        Thread.currentThread().interrupt(); // the drain ends the process that this waits for
+        Thread.currentThread().interrupt(); // in production listen() then blocks until the drain ends the process
         assertThrows(InterruptedException.class, () -> Serve.listen(front, new AtomicBoolean(true)));
         assertEquals(List.of(), calls);
         Serve.listen(front, new AtomicBoolean(false));
--- a/pooler/src/test/java/holdmux/simhost/WireTest.java
+++ b/pooler/src/test/java/holdmux/simhost/WireTest.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The frames that the wire's page prints, both ways, and frames that are not what they should be. */
+/** Decodes and encodes the example frames of the wire protocol's specification, and rejects malformed ones. */
 class WireTest {
     private static final class RecordingSink implements WireReader.Sink {
         final List<String> calls = new ArrayList<>();
@@ -239,7 +239,7 @@
         assertEquals("", run(spawn(CONFIG), 0));
     }
 
-    /** Instances act as they do alone, however their events are mixed in the batches. */
+    /** An instance acts as it does alone, however its events are interleaved with those of another. */
     @Test
     void instancesAreIsolated() throws IOException {
         assertEquals(repliesFor(true, 1), repliesFor(false, 1));
--- a/pooler/src/test/java/holdmux/statement/BufferPoolTest.java
+++ b/pooler/src/test/java/holdmux/statement/BufferPoolTest.java
@@ -23,7 +23,7 @@
 
 @Timeout(20)
 class BufferPoolTest {
-    /** Long messages that are all half read when the budget is spent must not wait for each other for good. */
+    /** Guards against a deadlock between long messages that are all partly read when the budget is exhausted. */
     @Test
     void partlyReadMessagesDoNotDeadlock() throws Exception {
         BufferPool buffers = new BufferPool(16 * BufferPool.BUFFER_SIZE, 8 * BufferPool.BUFFER_SIZE, () -> false);
@@ -51,7 +51,7 @@
         assertTrue(completed.await(10, TimeUnit.SECONDS));
     }
 
-    /** The budget holds, is halved while another process has its share, and a client that left waits no more. */
+    /** The budget is enforced, halved while another process shares it, and a reader whose client is gone stops waiting. */
     @Test
     void enforcesTheBudget() throws Exception {
         boolean[] halved = {false};
@@ -70,7 +70,7 @@
         assertEquals(BufferPool.BUFFER_SIZE, buffers.acquire().length);
     }
 
-    /** A text in a chain of buffers reads as it would in one array, wherever a letter of several bytes is cut. */
+    /** A text in several buffers reads as it would in one array, wherever a multi-byte character is split. */
     @Property(tries = 60, seed = "61")
     void chunkedTextReadsLikeOneArray(@ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
@@ -87,7 +87,7 @@
         }
         ChunkedText text = new ChunkedText(parts, bytes.length, true);
         assertEquals(bytes.length - 1, text.indexOfOrEnd('\'', random.nextInt(bytes.length)));
-        assertEquals(bytes.length - 1, text.withoutLastByte().indexOfOrEnd('\'', 3), "not found is the length");
+        assertEquals(bytes.length - 1, text.withoutLastByte().indexOfOrEnd('\'', 3), "the length where not found");
         assertEquals(bytes[at], text.byteAt(at));
         assertEquals(new String(bytes, at - 9, 20, StandardCharsets.UTF_8), text.substring(at - 9, at + 11));
         boolean valid = true;
--- a/pooler/src/test/java/holdmux/statement/StatementTest.java
+++ b/pooler/src/test/java/holdmux/statement/StatementTest.java
@@ -26,7 +26,7 @@
     }
 
     private static Statement parse(byte[] text) throws StatementException {
-        return Statement.parse(ChunkedText.of(Arrays.copyOf(text, text.length + 9), text.length)); // a buffer is longer than its text
+        return Statement.parse(ChunkedText.of(Arrays.copyOf(text, text.length + 9), text.length)); // longer than the text, as buffers are
     }
 
     private static String textSent(Statement statement, long limitMs) {
@@ -46,11 +46,11 @@
         assertEquals(1767225600123L, read.positionMs);
         Statement write = parse(WRITE);
         assertTrue(write.write);
-        assertEquals(read.session(), write.session(), "one key is one session, read or written");
+        assertEquals(read.session(), write.session(), "reads and writes of one key belong to one session");
         assertNotEquals(read.session(), parse(READ.replace("7f3a", "7f3b")).session());
     }
 
-    /** Servers void a statement that no client sent: only d may change on the way. */
+    /** Servers reject a statement that no client sent: only the value of d may be rewritten. */
     @Test
     void onlyTheTimeoutIsRewritten() throws StatementException {
         assertEquals(WRITE.replace("d=4800", "d=77"), textSent(parse(WRITE), 77));
@@ -91,7 +91,7 @@
         assertThrows(StatementException.class, () -> parse(cut));
     }
 
-    /** Garbage may be refused but must not throw anything else. */
+    /** Garbage may be refused with a StatementException but must not throw anything else. */
     @Property(tries = 500, seed = "12")
     void garbageThrowsOnlyStatementException(@ForAll byte[] garbage, @ForAll @IntRange(max = 100) int at) {
         byte[] text = READ.getBytes(StandardCharsets.UTF_8);
--- a/pooler/src/test/java/holdmux/upgrade/UpgradeTest.java
+++ b/pooler/src/test/java/holdmux/upgrade/UpgradeTest.java
@@ -35,11 +35,11 @@
 
 @Timeout(20)
 class UpgradeTest {
-    /** One process of the two, as far as the link is concerned. */
+    /** One of the two processes, reduced to its side of the link. */
     private static final class TestProcess {
         final List<LastWrite> receivedWrites = Collections.synchronizedList(new ArrayList<>());
         final AtomicInteger orderRefreshes = new AtomicInteger();
-        final OtherProcess shared = new OtherProcess();
+        final OtherProcess otherProcess = new OtherProcess();
         final Counters counters = new Counters();
         final Upgrade upgrade;
 
@@ -47,7 +47,7 @@
             Deadlines deadlines = new Deadlines(new Clock());
             Workers.newThread("deadlines", deadlines::run).start();
             upgrade = new Upgrade(directory, new Upgrade.LocalState(() -> List.of(existingWrites), receivedWrites::add,
-                    orderRefreshes::incrementAndGet, () -> clients, () -> 2 * clients), shared, deadlines, counters);
+                    orderRefreshes::incrementAndGet, () -> clients, () -> 2 * clients), otherProcess, deadlines, counters);
         }
     }
 
@@ -59,7 +59,7 @@
 
     private static TestProcess[] startPair(Path directory, LastWrite... existingWrites) throws InterruptedException {
         TestProcess older = new TestProcess(directory, 7, existingWrites);
-        assertFalse(older.upgrade.join(), "nobody was there before it");
+        assertFalse(older.upgrade.join(), "there is no older process");
         TestProcess newer = new TestProcess(directory, 3);
         waitUntil(() -> Files.exists(directory.resolve("holdmux.sock")));
         assertTrue(newer.upgrade.join());
@@ -67,12 +67,15 @@
         return new TestProcess[] {older, newer};
     }
 
-    /** A read through one process after a write through the other must not be stale: the write is known before its answer. */
+    /**
+     * A read through one process after a write through the other must not be stale, so both know the write before its
+     * client is answered.
+     */
     @Test
     void peerKnowsAWriteBeforeItsClientIsAnswered(@TempDir Path directory) throws Exception {
         LastWrite before = new LastWrite(1, 5, 100);
         TestProcess[] processes = startPair(directory, before);
-        assertEquals(List.of(before), processes[1].receivedWrites, "what was written before it came");
+        assertEquals(List.of(before), processes[1].receivedWrites, "writes made before the newer process started");
         for (int i = 0; i < 200; i++) {
             LastWrite write = new LastWrite(1, i, 200 + i);
             processes[i % 2].upgrade.onWrite(write);
@@ -81,29 +84,30 @@
         assertEquals(0, processes[0].counters.get(Counter.UPGRADE_WORDS_MISSED));
     }
 
-    /** Orders bind both, caps hold for both together, and all of it ends with the other process. */
+    /** Changes of orders, connection counts and the start of serving reach the other process, so that orders and limits hold for both. */
     @Test
     void exchangesOrdersAndUsage(@TempDir Path directory) throws Exception {
         TestProcess[] processes = startPair(directory);
         processes[1].upgrade.publishOrdersChange();
         assertEquals(1, processes[0].orderRefreshes.get());
-        waitUntil(() -> processes[0].shared.clients() == 3 && processes[0].shared.servers() == 6 && processes[1].shared.clients() == 7);
+        waitUntil(() -> processes[0].otherProcess.clients() == 3 && processes[0].otherProcess.servers() == 6
+                && processes[1].otherProcess.clients() == 7);
         assertFalse(processes[0].upgrade.peerServes());
         processes[1].upgrade.announceServing();
         waitUntil(processes[0].upgrade::peerServes);
     }
 
-    /** A socket file that a killed process left must not keep the next one from starting alone. */
+    /** A socket file left behind by a killed process must not keep the next one from starting alone. */
     @Test
     void staleSocketIsIgnored(@TempDir Path directory) throws Exception {
         try (ServerSocketChannel stale = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             stale.bind(UnixDomainSocketAddress.of(directory.resolve("holdmux.sock")));
         }
         assertFalse(new TestProcess(directory, 1).upgrade.join());
-        assertFalse(new TestProcess(null, 1).upgrade.join(), "without a folder there is no other");
+        assertFalse(new TestProcess(null, 1).upgrade.join(), "without a common directory there is no other process");
     }
 
-    /** Once the other process is gone it holds nothing, and no write waits for it. */
+    /** Once the other process is gone, its usage no longer counts and no write waits for it. */
     @Test
     void peerExitReleasesItsUsage(@TempDir Path directory) throws Exception {
         TestProcess older = new TestProcess(directory, 7);
@@ -120,9 +124,9 @@
         Link link = new Link(newer);
         link.send(new Frame(Kind.USAGE, 30, 40, 0));
         link.send(new Frame(Kind.SERVING, 0, 0, 0));
-        waitUntil(() -> older.shared.clients() == 30 && older.upgrade.peerServes());
+        waitUntil(() -> older.otherProcess.clients() == 30 && older.upgrade.peerServes());
         link.close();
-        waitUntil(() -> older.shared.clients() == 0 && !older.upgrade.peerServes());
+        waitUntil(() -> older.otherProcess.clients() == 0 && !older.upgrade.peerServes());
         long start = System.nanoTime();
         older.upgrade.onWrite(new LastWrite(1, 1, 1));
         assertTrue(System.nanoTime() - start < 200 * Clock.MS);
