--- a/pooler/src/test/java/holdmux/DrainTest.java
+++ b/pooler/src/test/java/holdmux/DrainTest.java
@@ -8,18 +8,21 @@
 import java.lang.reflect.Proxy;
 import org.junit.jupiter.api.Test;
 
-/** The end of a process, with a front of one client that is played and time passed in, in milliseconds since SIGTERM. */
+/** The drain with a simulated front of one client and a simulated clock, in milliseconds since SIGTERM. */
 class DrainTest {
     private static final long NEVER = Long.MAX_VALUE;
 
-    private long now, endAfterAt, stoppedAcceptingAt, gaveUpAt = NEVER, connectionClosedAt = NEVER;
+    private long now, shutdownAt, stoppedAcceptingAt, gaveUpAt = NEVER, connectionClosedAt = NEVER;
 
-    /** When the process ends whose client has its answer at a time or, if it heeds that, once it is given up. */
+    /**
+     * Drains, and returns when the drain ended. The client is answered at {@code answeredAt} or, with {@code endsOnGiveUp},
+     * once its request is given up.
+     */
     private long drainUntil(long maxDeadlineMs, long answeredAt, boolean endsOnGiveUp) throws InterruptedException {
         return drainUntil(maxDeadlineMs, answeredAt, endsOnGiveUp, NEVER);
     }
 
-    /** {@code closedAt}: when its connection has ended by itself. */
+    /** {@code closedAt}: when the client closes its connection by itself. */
     private long drainUntil(long maxDeadlineMs, long answeredAt, boolean endsOnGiveUp, long closedAt) throws InterruptedException {
         now = 0;
         gaveUpAt = NEVER;
@@ -27,7 +30,7 @@
         Front front = (Front) Proxy.newProxyInstance(Front.class.getClassLoader(), new Class<?>[] {Front.class},
                 (proxy, method, args) -> {
                     switch (method.getName()) {
-                        case "endAfter" -> endAfterAt = now + (long) args[0] / Clock.MS;
+                        case "announceShutdown" -> shutdownAt = now + (long) args[0] / Clock.MS;
                         case "stopAccepting" -> stoppedAcceptingAt = now;
                         case "closeWhenIdle" -> connectionClosedAt = Math.min(connectionClosedAt, now);
                         default -> {
@@ -51,19 +54,19 @@
         return now;
     }
 
-    /** Guards against an exit with a request open: "ends with 6 clients" lost six, each waiting on a server that hung. */
+    /** Guards against an exit with open requests: a process that ended with 6 clients, each waiting on a hung server, lost all six. */
     @Test
     void hungRequestsAreAnsweredBeforeSigkill() throws InterruptedException {
         for (long maxDeadlineMs : new long[] {200, 900, 3_000, 5_000}) {
             long end = drainUntil(maxDeadlineMs, NEVER, true);
-            assertTrue(gaveUpAt <= Math.max(600, 500 + Math.min(3_000, maxDeadlineMs)), maxDeadlineMs + ": given up at " + gaveUpAt);
-            assertTrue(endAfterAt <= gaveUpAt, "what is taken later must be answered by then");
-            assertTrue(end > gaveUpAt, "it ended before the answer went out");
+            assertTrue(gaveUpAt <= Math.max(600, 500 + Math.min(3_000, maxDeadlineMs)), maxDeadlineMs + ": final answer at " + gaveUpAt);
+            assertTrue(shutdownAt <= gaveUpAt, "requests taken later must be answered by then");
+            assertTrue(end > gaveUpAt, "the drain ended before the answer was sent");
             assertEquals(600, stoppedAcceptingAt);
         }
     }
 
-    /** A client that takes its answer slowly keeps the process, since SIGKILL excuses what an exit would lose, but not for ever. */
+    /** A client that reads its answer slowly keeps the process alive, since only SIGKILL excuses losing it, but not for ever. */
     @Test
     void drainWaitsForOpenClientsWithinALimit() throws InterruptedException {
         assertTrue(drainUntil(3_000, 4_500, false) >= 4_500);
