--- a/pooler/src/main/java/holdmux/core/Admission.java
+++ b/pooler/src/main/java/holdmux/core/Admission.java
@@ -10,49 +10,51 @@
 import holdmux.statement.StatementException;
 import java.util.function.Supplier;
 
-/** What must hold of a statement before it becomes a request, whichever front took it. */
+/** Checks statements before they become requests, in the same way for every front, and decides when new requests are refused. */
 public final class Admission {
-    /** How long the request is on its way to us, at most in the deployments so far: d counts from its send. */
+    /** Upper bound of the network delay from client to pooler in current deployments; the client's {@code d} counts from its send. */
     private static final long MAX_NETWORK_DELAY_MS = 2;
-    /** When to come again while discovery's list is awaited: its agent is asked twice in this time. */
+    /** Retry hint while the server list is unconfirmed; the discovery agent is called twice in this time. */
     private static final long LIST_RETRY_AFTER_NS = 1_000 * Clock.MS;
 
     /**
-     * Why nothing is taken.
+     * Why new requests are refused.
      *
-     * @param counter what such refusals are counted under
-     * @param retryAfterNs when the client should come again, in nanoseconds; 0 for no hint
+     * @param reason the reason in words
+     * @param counter the counter for requests refused for this reason
+     * @param retryAfterNs when the client should retry, in nanoseconds; 0 for no hint
      */
     public record Refusal(String reason, Counter counter, long retryAfterNs) {}
 
     private final Supplier<Deployment> deployment;
     private final ServerRegistry registry;
-    /** Null where nothing is asked. */
-    private volatile Supplier<String> setAdmissionGate;
-    /** Whether discovery has still to confirm the list before anything may be taken. */
+    /** Returns the policy's reason to refuse requests, or null; null itself until one is set. */
+    private volatile Supplier<String> admissionGate;
+    /** Whether requests are refused until discovery confirms the server list. */
     private volatile boolean listUnconfirmed;
 
+    /** Creates an admission check that reads the deployment anew for each statement. */
     public Admission(Supplier<Deployment> deployment, ServerRegistry registry) {
         this.deployment = deployment;
         this.registry = registry;
     }
 
-    /** Names who says whether anything new may be taken; see {@link PolicyControl#setAdmissionGate}. */
+    /** Sets the supplier of the policy's refusal reason; see {@link PolicyControl#setAdmissionGate}. */
     void setAdmissionGate(Supplier<String> refusalReason) {
-        setAdmissionGate = refusalReason;
+        admissionGate = refusalReason;
     }
 
-    /** From now on nothing is taken until {@link #listConfirmed}. */
+    /** Refuses new requests until {@link #listConfirmed} is called. */
     public void requireListConfirmation() {
         listUnconfirmed = true;
     }
 
-    /** Discovery has confirmed the list of servers. */
+    /** Ends the refusal that {@link #requireListConfirmation} began: discovery has confirmed the server list. */
     public void listConfirmed() {
         listUnconfirmed = false;
     }
 
-    /** Null, or why this pooler takes no request now: another one can. */
+    /** Returns why this pooler refuses new requests now, or null if it accepts them; another pooler may accept them. */
     public Refusal refusal() {
         if (listUnconfirmed) {
             return new Refusal("discovery has not confirmed the list of servers yet", Counter.REFUSED_UNCONFIRMED,
@@ -62,10 +64,10 @@
         return reason == null ? null : new Refusal(reason, Counter.POLICY_CLOSED, 0);
     }
 
-    /** Null, or in words why the fleet's policy lets this pooler take nothing. */
+    /** Returns in words why the fleet-wide policy makes this pooler refuse new requests, or null if it does not. */
     public String policyRefusalReason() {
-        Supplier<String> now = setAdmissionGate;
-        return now == null ? null : now.get();
+        Supplier<String> gate = admissionGate;
+        return gate == null ? null : gate.get();
     }
 
     private long retryAfterNs() {
@@ -73,7 +75,12 @@
         return limits.retryAfter() ? Math.min(LIST_RETRY_AFTER_NS, limits.maxRetryAfterNs()) : 0;
     }
 
-    /** The request that a statement stands for, where its client and this process wait no longer than this. */
+    /**
+     * Turns a statement into the request it stands for. The request's time is limited by what its client still waits and
+     * by {@code maxWaitNs}.
+     *
+     * @throws StatementException if the class or the group is unknown, or the class does not allow such a statement
+     */
     public Request.Spec admit(Statement statement, long maxWaitNs) throws StatementException {
         RequestClass requestClass = requestClass(statement.className);
         if (!registry.hasGroup(statement.group)) {
@@ -88,7 +95,7 @@
                 session ? statement.session() : 0, statement.group);
     }
 
-    /** The class of this name in the settings in force. */
+    /** Returns the request class of this name in the current settings. */
     public RequestClass requestClass(String className) throws StatementException {
         Deployment current = deployment.get();
         int index = current.classes().indexOf(className);
@@ -98,7 +105,7 @@
         return current.settings().classes().get(index);
     }
 
-    /** How long the client still waits. */
+    /** Returns how long the client still waits, allowing for the time that the statement has spent on the network. */
     public static long remainingWaitNs(Statement statement) {
         return Math.max(1, statement.timeoutMs - MAX_NETWORK_DELAY_MS) * Clock.MS;
     }
--- a/pooler/src/main/java/holdmux/core/Attempt.java
+++ b/pooler/src/main/java/holdmux/core/Attempt.java
@@ -5,26 +5,31 @@
 import java.io.IOException;
 
 /**
- * One send to one server while it runs. The thread that carries it out blocks on the connection it has handed in;
- * any other thread may cut it off, which closes that connection and so abandons the attempt.
+ * One attempt to run a request, or a probe, on one server. The thread that runs it blocks on the attached connection; any
+ * other thread may abort it, which closes that connection.
  */
 public final class Attempt {
+    /** The server's number in {@link ServerRegistry}. */
     public final long serverId;
+    /** When the attempt was started, on the {@link Clock}. */
     public final long startedAt;
+    /** How long the attempt may take, in nanoseconds from {@link #startedAt}. */
     public final long timeoutNs;
-    /** The number of this attempt within its request. */
+    /** The index of this attempt within its request. */
     final int number;
     private final SendGuard guard;
-    /** When it was let go out, on the {@link Clock}; 0 if it was not. Under the balancer's lock. */
+    /** When the send was permitted, on the {@link Clock}; 0 if it was not. Guarded by the balancer's lock. */
     long permittedAt;
     private Closeable connection;
     private Outcome abortOutcome;
-    private boolean markWritten;
-    private boolean markConnected;
+    /** Whether the last byte has been written. */
+    private boolean written;
+    private boolean connected;
     private boolean finished;
-    private boolean failUnprocessed;
+    /** Whether the outcome proves that the request never ran. */
+    private boolean neverRan;
 
-    /** The {@code number}-th of its request; {@code permit}: whether what it was decided on still holds, see {@link #mayWrite}. */
+    /** Creates the {@code number}-th attempt of its request; {@code guard} is asked by {@link #mayWrite}. */
     public Attempt(long serverId, int number, long startedAt, long timeoutNs, SendGuard guard) {
         this.serverId = serverId;
         this.number = number;
@@ -33,7 +38,7 @@
         this.guard = guard;
     }
 
-    /** Puts the attempt on a connection; false, with the connection closed, if it was cut off before. */
+    /** Attaches the connection that the attempt uses; if it was aborted before, closes the connection and returns false. */
     public synchronized boolean attachConnection(Closeable connection) {
         if (abortOutcome != null) {
             close(connection);
@@ -43,70 +48,74 @@
         return true;
     }
 
-    /** Its connection has come up: a connect time-out that was on its way no longer counts. */
+    /** Notes that the connection is established: a connect time-out that fires from now on is ignored. */
     public synchronized void markConnected() {
-        markConnected = true;
+        connected = true;
     }
 
     /**
-     * Whether it may still be written, asked right before that: a connection that came up late has let data grow older
-     * than a bound allows, a server lose its role or begin to drain. Where not, it was never sent.
+     * Returns whether the request may still be written; to be asked right before the write. While a connection was being
+     * established, a replica's data may have become older than a bound allows, and a server may have lost its role or
+     * begun to drain. If false, the request was never sent.
      */
     public boolean mayWrite() {
         return guard.mayWrite();
     }
 
-    /** From the last byte on it may have run. */
+    /** Notes that the last byte has been written: from now on the request may have run. */
     public void markWritten() {
         synchronized (this) {
-            markWritten = true;
+            written = true;
         }
         guard.onWritten();
     }
 
-    /** Notes how it ended. */
+    /** Records how the attempt ended. */
     synchronized void recordOutcome(Outcome outcome) {
-        failUnprocessed = outcome.neverRan;
+        neverRan = outcome.neverRan;
     }
 
-    /** Whether it was written and nothing has proven since that it did not run. */
+    /** Whether the request was written and its outcome does not prove that it never ran. */
     synchronized boolean mayHaveRun() {
-        return markWritten && !failUnprocessed;
+        return written && !neverRan;
     }
 
-    /** Ends the attempt from outside, with the outcome it then has if its connection breaks. */
+    /**
+     * Aborts the attempt from another thread by closing its connection. The first call sets the outcome that the attempt has
+     * if it was written; calls after its end are ignored.
+     */
     public synchronized void abort(Outcome outcome) {
-        if (!finished && abortOutcome == null && !(markConnected && outcome == Outcome.CONNECT_FAILED)) {
+        if (!finished && abortOutcome == null && !(connected && outcome == Outcome.CONNECT_FAILED)) {
             abortOutcome = outcome;
             close(connection);
         }
     }
 
-    /** The attempt has its whole answer: its connection is free, and a later cut does not touch it. */
+    /** Ends the attempt with its complete answer; false if it was aborted before. A later abort leaves its connection open. */
     public synchronized boolean complete() {
         finished = abortOutcome == null;
         return finished;
     }
 
-    /** What a broken connection means, by the protocol's table: nothing ran until the last byte was written. */
+    /** Ends the attempt on a broken connection and returns its outcome: nothing ran unless the last byte was written. */
     public synchronized Outcome failDisconnected() {
         finished = true;
-        if (markWritten) {
+        if (written) {
             return abortOutcome == null || abortOutcome == Outcome.CONNECT_FAILED ? Outcome.RESET : abortOutcome;
         }
         return abortOutcome == Outcome.CANCELLED ? Outcome.MOOT : Outcome.CONNECT_FAILED;
     }
 
-    /** The connection broke, and its protocol proves that the server never took the request up. */
+    /** Ends the attempt on a broken connection whose protocol proves that the server never processed the request. */
     public synchronized Outcome failUnprocessed() {
         finished = true;
         return abortOutcome == Outcome.CANCELLED ? Outcome.MOOT : Outcome.CONNECT_FAILED;
     }
 
-    /** What it means that this program itself had no room to go on: the server is not to blame. */
+    /** Ends the attempt for lack of resources in this process; the outcome does not count against the server. */
     public synchronized Outcome failLocally() {
         finished = true;
-        return markWritten ? Outcome.CANCELLED : Outcome.MOOT;
+        return written ? Outcome.CANCELLED : Outcome.MOOT;
     }
 
     private static void close(Closeable connection) {
@@ -115,7 +124,7 @@
                 connection.close();
             }
         } catch (IOException e) {
-            // closing is all that was wanted; the peer sees the end either way
+            // the connection is unusable either way, and the peer sees it end
         }
     }
 }
--- a/pooler/src/main/java/holdmux/core/Balancer.java
+++ b/pooler/src/main/java/holdmux/core/Balancer.java
@@ -40,8 +40,9 @@
 import java.util.function.LongFunction;
 
 /**
- * The decision module behind one lock: events go in as they come, actions go to whom they concern. Knows no protocol and
- * no sockets: a front takes requests and is a {@link Responder} of each, an {@link Upstream} carries attempts out.
+ * Drives the decision module under one lock: feeds it events as they occur and performs the actions it returns. It is
+ * independent of protocols and sockets: a front accepts requests and answers each through a {@link Responder}, an
+ * {@link Upstream} runs the attempts.
  */
 public final class Balancer {
     private final Clock clock;
@@ -58,6 +59,7 @@
     private WriteListener writeListener = write -> { };
     private long lastId;
 
+    /** Creates a balancer with these settings; {@code workers} run the probes. */
     public Balancer(Deployment deployment, long seed, Clock clock, Deadlines deadlines,
             Counters counters, ServerRegistry registry, Executor workers) {
         this.clock = clock;
@@ -70,11 +72,12 @@
         sendGate = new SendGate(counters, registry);
     }
 
-    /** Names who reaches each server; before the first list. */
+    /** Sets the function that gives the upstream of each server; must be called before the first list. */
     public void setUpstreams(LongFunction<Upstream> upstreams) {
         this.upstreams = upstreams;
     }
 
+    /** Applies a server list or a change to one; {@code cached} marks the list of the configuration. */
     public void listChanged(HostList list, boolean cached) {
         lock.lock();
         try {
@@ -90,12 +93,12 @@
         }
     }
 
-    /** From now on nothing is sent to any server until {@link #listConfirmed}. */
+    /** Holds back all sends to servers until {@link #listConfirmed} is called. */
     public void requireListConfirmation() {
         requireListConfirmation(true);
     }
 
-    /** Discovery has confirmed the list of servers. */
+    /** Ends what {@link #requireListConfirmation()} began: discovery has confirmed the server list. */
     public void listConfirmed() {
         requireListConfirmation(false);
     }
@@ -117,12 +120,12 @@
         }
     }
 
-    /** Names who hears of each write before its client sees the answer. */
+    /** Sets the listener that is told of each write before its client sees the answer. */
     public void setWriteListener(WriteListener listener) {
         writeListener = listener;
     }
 
-    /** All sessions' writes that a second process of this pooler must know of. */
+    /** Returns the last writes of all sessions, which a second process of this pooler must know. */
     public List<LastWrite> writes() {
         lock.lock();
         try {
@@ -132,7 +135,7 @@
         }
     }
 
-    /** A write that another process of this pooler answered. */
+    /** Takes over a write that another process of this pooler answered. */
     public void applyWrite(LastWrite write) {
         lock.lock();
         try {
@@ -142,12 +145,12 @@
         }
     }
 
-    /** What is in force for requests that come now. */
+    /** Returns the deployment that applies to new requests. */
     public Deployment deployment() {
         return deployment;
     }
 
-    /** Puts another deployment's settings in force; requests that are open keep what they came under. */
+    /** Replaces the deployment for new requests; open requests keep the settings they arrived under. */
     public void reconfigure(Deployment next) {
         lock.lock();
         try {
@@ -159,7 +162,7 @@
         }
     }
 
-    /** Leaves out just these servers, named with the Unix time in milliseconds since when, from now on. */
+    /** Replaces the set of excluded servers: server names with the Unix time in milliseconds of the exclusion. */
     public void setExcluded(Map<String, Long> servers) {
         lock.lock();
         try {
@@ -173,7 +176,7 @@
         }
     }
 
-    /** A request that has come in whole; its life must be started, or be given up with {@link #clientLeft}. */
+    /** Registers a request that was received completely; {@link #execute} or {@link #clientLeft} must follow. */
     public Request openRequest(Request.Spec spec) {
         lock.lock();
         try {
@@ -187,8 +190,8 @@
     }
 
     /**
-     * The life of one request, from its arrival to its one final answer: the module is told of it, its sends are
-     * carried out one at a time (it never has two out), and their outcomes go back before the client sees anything.
+     * Runs one request from its arrival to its only final answer. The attempts that the decision module asks for run one
+     * at a time, never two at once, and the module is told of each outcome before the client sees an answer.
      */
     public void execute(Request request, Statement statement, Responder responder) {
         boolean answerStarted = false;
@@ -231,17 +234,17 @@
             failOnInternalError(request, responder, answerStarted);
         } catch (RuntimeException | Error e) {
             counters.count(Counter.INTERNAL_ERRORS);
-            Log.error("request " + request.id + " failed here", e);
+            Log.error("request " + request.id + " failed with an internal error", e);
             failOnInternalError(request, responder, answerStarted);
         } finally {
             closeRequest(request);
         }
     }
 
-    /** A fault of this program ends the request, with its final answer where that has not begun. */
+    /** Ends a request after an internal error; the client is answered unless an answer has begun or the client has left. */
     private void failOnInternalError(Request request, Responder responder, boolean answerStarted) {
         boolean clientGone = request.clientLeftAt > 0;
-        clientLeft(request); // what is out for it is given up
+        clientLeft(request); // aborts its attempts
         if (answerStarted || clientGone) {
             return;
         }
@@ -256,7 +259,7 @@
         }
     }
 
-    /** The final answer of a request that has run: its value, or that it cannot be told. */
+    /** Sends the final answer of a request that has run: its result, or a failure if the result fits no front. */
     private void deliver(QueryResult result, Responder responder) throws IOException {
         if (result == null) {
             counters.count(Counter.VALUES_UNFIT);
@@ -275,14 +278,14 @@
         lock.lock();
         try {
             if (request.finished) {
-                return; // the client left before its request was begun
+                return; // the client left before its request was started
             }
             long now = clock.now();
             long tokenAgeNs = spec.tokenPositionNs() == 0 ? 0 : Math.max(1, now - spec.tokenPositionNs());
-            // by name and under the lock, so that no number crosses a change of settings
+            // resolved by name under the lock: class indices are not stable across a change of settings
             int index = deployment.classes().indexOf(spec.className());
             if (index < 0 || deployment.settings().classes().get(index).consistency() != spec.consistency()) {
-                // its class went while it came in
+                // the class was dropped or changed while the request was being received
                 endRequest(request.id, new Decline(request.id, 0, EndReason.CLASS_DROPPED), EndReason.CLASS_DROPPED);
                 return;
             }
@@ -307,7 +310,7 @@
         }
     }
 
-    /** Where its answer was not heard, a write may have taken effect up to now. */
+    /** Tells the listener of a write; one whose answer was lost may have taken effect at any time up to now. */
     private void reportWrite(Request.Spec spec, Reply reply) {
         if (spec.consistency() == Consistency.WRITE && !reply.outcome().neverRan) {
             boolean positionKnown = reply.outcome() == Outcome.OK && reply.positionNs() > 0;
@@ -317,8 +320,8 @@
     }
 
     /**
-     * Gives every open request its final answer now: refused where that is true, else failed. Until then it is the
-     * module's to say when; from here on this process ends, and an answer later than that is none.
+     * Gives every open request its final answer now: refused if it certainly never ran, otherwise failed. Called when the
+     * process is about to end, after which no answer could be delivered.
      */
     public void giveUpAll() {
         lock.lock();
@@ -334,7 +337,7 @@
         return Counter.valueOf("ATTEMPT_" + outcome.name());
     }
 
-    /** The client has gone away, or wants no answer any more: what is still out for it is given up. */
+    /** Aborts a request whose client has disconnected or no longer wants an answer. */
     public void clientLeft(Request request) {
         lock.lock();
         try {
@@ -350,7 +353,7 @@
         }
     }
 
-    /** Carries out an attempt; a fault of ours on the way is the attempt's, not the program's. */
+    /** Runs one attempt; an internal error fails only this attempt. */
     private AttemptResult runAttempt(Attempt attempt, Statement statement, Responder responder) {
         try {
             return upstreams.apply(attempt.serverId).attempt(attempt, statement, responder.resultShape());
@@ -361,7 +364,7 @@
         }
     }
 
-    /** Drops a request whose life is over or could not be started. */
+    /** Removes a request that has ended or could not be started. */
     public void closeRequest(Request request) {
         lock.lock();
         try {
@@ -389,17 +392,17 @@
         }
     }
 
-    /** One event, at this moment; only with the lock held, and never from within the module. */
+    /** Passes one event to the decision module, with the current time. The lock must be held; must not be called by an action. */
     private void handleEvent(Event event) {
         try {
             splitter.handle(clock.now(), List.of(event), this::performAction);
         } catch (RuntimeException e) {
-            // a fault in a decision fails the request it was about, not the program
+            // an exception in the decision module fails only the request that the event is about
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("the decision module failed on " + event, e);
             long id = event instanceof Arrived a ? a.id() : event instanceof Answered a ? a.id() : 0;
             if (event instanceof ListChanged) {
-                throw e; // half of it may have been taken in: whoever told it must tell it again
+                throw e; // the list may have been applied in part: the caller must deliver it again
             }
             if (openRequests.containsKey(id)) {
                 endRequest(id, new RespondError(id, EndReason.INTERNAL_ERROR), EndReason.INTERNAL_ERROR);
@@ -428,7 +431,7 @@
         } else if (action instanceof Remark r) {
             Log.info("module: " + r.words());
         }
-        // Subscribe and ListAll: the watch runs from the start and needs no asking. MemoTo: there are no peers.
+        // Subscribe and ListAll: the discovery watch always runs. MemoTo: this deployment has no peers.
     }
 
     private void closeIdle(long serverId) {
@@ -496,7 +499,7 @@
         if (request != null && !request.finished) {
             counters.count(Counter.forEndReason(reason));
             request.finished = true;
-            // also where the module may not retract: on sockets an attempt is given up by closing, and the client waits
+            // even where the settings forbid cancelling: here aborting only closes a connection, and the client waits for its answer
             request.attempts.forEach(attempt -> attempt.abort(Outcome.CANCELLED));
             request.post(new Request.End(answer));
         }
@@ -510,7 +513,7 @@
         try {
             workers.execute(() -> runProbe(attempt));
         } catch (RejectedExecutionException e) {
-            // our own lack of threads says nothing of the server: as if it had been too busy to tell
+            // a lack of threads in this process says nothing about the server: reported as too busy to answer
             deadlines.after(0, () -> probeEnded(serverId, Reply.of(Outcome.FULL), 0));
         }
     }
--- a/pooler/src/main/java/holdmux/core/Clock.java
+++ b/pooler/src/main/java/holdmux/core/Clock.java
@@ -4,25 +4,28 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one clock of the program: Unix time in nanoseconds, anchored once to the wall clock and monotonic from then
- * on. Positions on sockets are Unix milliseconds, so both compare without conversion of the zero point.
+ * The program's clock: Unix time in nanoseconds, anchored once to the wall clock and monotonic from then on. Positions on
+ * the wire are Unix milliseconds, so both have the same epoch.
  */
 public final class Clock {
+    /** Nanoseconds in a millisecond. */
     public static final long MS = 1_000_000L;
 
-    /** Tries at reading both clocks at one moment; a start is busy, and a stall between the two readings stays for good. */
+    /** Attempts to read both clocks at the same moment: a stall between the readings at a busy start would be a lasting error. */
     private static final int ANCHOR_ATTEMPTS = 8;
 
     private final LongSupplier monotonic;
     private final long offset;
 
+    /** Creates a clock anchored to the system's wall clock. */
     public Clock() {
         this(Clock::wall, System::nanoTime);
     }
 
     /**
-     * Anchored by the readings that lay closest together, and to the earlier of the steady ones: what is left of the gap
-     * makes this clock run ahead, where data look older, never behind, where a replica would look fresher than it is.
+     * Anchors the clock at the pair of readings with the smallest gap, and at the earlier of the two monotonic readings.
+     * The rest of the gap can only make this clock run ahead, so that data look older; if it ran behind, a replica would
+     * look fresher than it is.
      */
     Clock(LongSupplier wall, LongSupplier monotonic) {
         this.monotonic = monotonic;
@@ -43,12 +46,12 @@
         return now.getEpochSecond() * 1_000 * MS + now.getNano();
     }
 
-    /** Nanoseconds in whole milliseconds, rounded up so that a wait told in them is never shorter. */
+    /** Converts nanoseconds to milliseconds, rounded up so that a wait given in them is never too short. */
     public static long ceilMillis(long ns) {
         return (ns + MS - 1) / MS;
     }
 
-    /** Unix time in nanoseconds. */
+    /** Returns the Unix time in nanoseconds. */
     public long now() {
         return monotonic.getAsLong() + offset;
     }
--- a/pooler/src/main/java/holdmux/core/Counters.java
+++ b/pooler/src/main/java/holdmux/core/Counters.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Supplier;
 
-/** Counts what the program takes in, sends and answers; docs/oncall.md says what each figure means. */
+/** Counters of what the program accepts, sends and answers; docs/oncall.md says what each one means. */
 public final class Counters {
-    /** One figure; its name on the outside is its own in lower case. */
+    /** One counter; it is published under its own name in lower case. */
     public enum Counter {
         CLIENTS_ACCEPTED, CLIENTS_TURNED_AWAY, CLIENTS_CLOSED, EMPTY_QUERIES, REQUESTS_TAKEN, BAD_INPUT,
         SERVED, LONG_ANSWERS, VALUES_UNFIT, REFUSED, FAILED, CLIENTS_LEFT, QUERIES_CANCELED, ANSWERS_UNDELIVERED, OVER_CAPACITY,
@@ -19,7 +19,8 @@
         ATTEMPT_CANCELLED, ATTEMPT_MOOT, ATTEMPT_MISS,
         RETRIES, ENDED_NO_SERVER, ENDED_TIME_OVER, ENDED_NOT_REPEATABLE, ENDED_SERVERS_FAILED, ENDED_PROCESS_ENDS,
         ENDED_CLASS_DROPPED, ENDED_INTERNAL_ERROR,
-        PROBES, PROBES_FAILED, PROBES_WITHHELD, SENDS_OUTDATED, WITHHELD_REQUEST_OVER, WITHHELD_NOT_REPEATABLE, WITHHELD_TIME_OVER, WITHHELD_LIST_UNCONFIRMED,
+        PROBES, PROBES_FAILED, PROBES_WITHHELD, SENDS_OUTDATED, WITHHELD_REQUEST_OVER, WITHHELD_NOT_REPEATABLE,
+        WITHHELD_TIME_OVER, WITHHELD_LIST_UNCONFIRMED,
         WITHHELD_SERVER_DRAINING,
         WITHHELD_SERVER_GONE, WITHHELD_DATA_TOO_OLD, WITHHELD_OUT_OF_SCOPE,
         GATE_DISAGREEMENTS, WRITES_HELD_UP, VIOLATIONS_UNPERMITTED, VIOLATIONS_DRAIN, VIOLATIONS_CLIENT_GONE,
@@ -37,21 +38,22 @@
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** The figure for requests that ended for this reason. */
+        /** Returns the counter of requests that ended for this reason. */
         public static Counter forEndReason(EndReason reason) {
             return valueOf("ENDED_" + reason.name());
         }
 
-        /** The figure for sends that were withheld for this reason; there is none for those that were allowed. */
+        /** Returns the counter of sends that were withheld for this reason; {@link Permission#ALLOWED} has none. */
         public static Counter forWithheldSend(Permission denied) {
             return valueOf("WITHHELD_" + denied.name());
         }
     }
 
     private final Map<Counter, LongAdder> counts = new EnumMap<>(Counter.class);
-    /** Copied at each change, which come at the start alone. */
+    /** Values computed on demand, by name. Copied on each change; changes come only at start-up. */
     private volatile Map<String, Supplier<String>> computedStats = Map.of();
 
+    /** Creates all counters at 0. */
     public Counters() {
         for (Counter counter : Counter.values()) {
             counts.put(counter, new LongAdder());
@@ -59,26 +61,29 @@
         addStat("log_lines_dropped", () -> Long.toString(Log.dropped()));
     }
 
+    /** Increments a counter by one. */
     public void count(Counter counter) {
         counts.get(counter).increment();
     }
 
+    /** Increments a counter by {@code delta}. */
     public void add(Counter counter, long delta) {
         counts.get(counter).add(delta);
     }
 
+    /** Returns a counter's current value. */
     public long get(Counter counter) {
         return counts.get(counter).sum();
     }
 
-    /** Adds a figure that is asked for whenever the others are told. */
+    /** Adds a value that is computed whenever the counters are read. */
     public synchronized void addStat(String name, Supplier<String> value) {
         Map<String, Supplier<String>> extended = new LinkedHashMap<>(computedStats);
         extended.put(name, value);
         computedStats = extended;
     }
 
-    /** All figures by name, as they stand now. */
+    /** Returns the current values of all counters and computed values by name. */
     public Map<String, String> snapshot() {
         Map<String, String> all = new LinkedHashMap<>();
         counts.forEach((counter, figure) -> all.put(counter.toString(), Long.toString(figure.sum())));
@@ -86,7 +91,7 @@
         return all;
     }
 
-    /** All figures as name=value, in one line. */
+    /** Returns all values as name=value, in one line. */
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder();
--- a/pooler/src/main/java/holdmux/core/DeadlineInputStream.java
+++ b/pooler/src/main/java/holdmux/core/DeadlineInputStream.java
@@ -5,22 +5,23 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 
-/** What a socket's peer sends within one bound, however often a byte of it drops in: a drip is no sign of life. */
+/** Input of a socket that must all arrive by one deadline: a peer that sends single bytes slowly does not extend it. */
 public final class DeadlineInputStream extends InputStream {
-    /** What a read returns at the end of the input. */
+    /** What a read returns at the end of the stream. */
     private static final int END_OF_STREAM = -1;
 
     private final Socket socket;
     private final InputStream in;
     private long deadlineNanos;
 
+    /** Creates a stream whose deadline is {@code timeoutMs} from now. */
     public DeadlineInputStream(Socket socket, int timeoutMs) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
         setTimeout(timeoutMs);
     }
 
-    /** From now on all that is read must have come within this time; a {@link SocketTimeoutException} past it. */
+    /** Sets the deadline to this time from now; reads after it throw a {@link SocketTimeoutException}. */
     public void setTimeout(int timeoutMs) {
         deadlineNanos = System.nanoTime() + timeoutMs * Clock.MS;
     }
@@ -36,7 +37,7 @@
         while (true) {
             long remaining = deadlineNanos - System.nanoTime();
             if (remaining <= 0) {
-                throw new SocketTimeoutException("not whole in time");
+                throw new SocketTimeoutException("the input was not complete in time");
             }
             socket.setSoTimeout((int) Clock.ceilMillis(remaining));
             int count = in.read(buffer, offset, length);
@@ -47,8 +48,8 @@
     }
 
     /**
-     * Whether what a timed read of a socket returned means that a signal interrupted it (EINTR): Java 17 hands its own
-     * number for that, below that for the end of the input, on to the caller, who would take it for an end.
+     * Whether the count returned by a timed socket read means that a signal interrupted it (EINTR). Java 17 passes its
+     * internal code for that, which is below -1, on to the caller, who would take it for the end of the stream.
      */
     public static boolean wasInterrupted(int count) {
         return count < END_OF_STREAM;
--- a/pooler/src/main/java/holdmux/core/Deadlines.java
+++ b/pooler/src/main/java/holdmux/core/Deadlines.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * All deadlines of the program in one sorted structure, swept each turn by one thread: timers of the module,
- * attempt and connect time-outs, idle closes. What is due must be quick and must not block.
+ * The timer queue of the program, served by one thread: timers of the decision module, attempt and connect time-outs,
+ * closing of idle connections. Tasks must be short and must not block.
  */
 public final class Deadlines {
-    /** One deadline; the number tells apart those of the same time. */
+    /** One scheduled task's time; the sequence number orders tasks of the same time. */
     public record Deadline(long at, long sequence) implements Comparable<Deadline> {
         @Override
         public int compareTo(Deadline other) {
@@ -21,10 +21,12 @@
     private final TreeMap<Deadline, Runnable> pending = new TreeMap<>();
     private long nextSequence;
 
+    /** Creates an empty queue; {@link #run} must be run by a thread. */
     public Deadlines(Clock clock) {
         this.clock = clock;
     }
 
+    /** Schedules a task for a time of the {@link Clock}; the result can be cancelled. */
     public synchronized Deadline at(long at, Runnable task) {
         Deadline deadline = new Deadline(at, nextSequence++);
         pending.put(deadline, task);
@@ -34,27 +36,29 @@
         return deadline;
     }
 
+    /** Schedules a task to run after a delay in nanoseconds; the result can be cancelled. */
     public Deadline after(long delayNs, Runnable task) {
         return at(clock.now() + delayNs, task);
     }
 
-    /** The time that deadlines are told in. */
+    /** Returns the current time of the clock that deadlines refer to. */
     public long now() {
         return clock.now();
     }
 
+    /** Cancels a task; does nothing if it has run or is about to. */
     public synchronized void cancel(Deadline deadline) {
         pending.remove(deadline);
     }
 
-    /** Sweeps for ever; the body of the one thread. */
+    /** Runs tasks as they fall due; does not return. */
     public void run() {
         while (true) {
             awaitDue().forEach(Deadlines::runOne);
         }
     }
 
-    /** Whatever one throws, an Error too, those behind it are run. */
+    /** Runs a task; whatever it throws, an Error included, is logged so that the tasks after it still run. */
     static void runOne(Runnable task) {
         try {
             task.run();
@@ -69,17 +73,17 @@
             while (remaining > 0) {
                 remaining = pending.isEmpty() ? Long.MAX_VALUE : pending.firstKey().at() - clock.now();
                 if (remaining > 0) {
-                    // up to the next whole millisecond, the finest that wait() knows
+                    // rounded up to a whole millisecond, the resolution of wait()
                     wait(remaining == Long.MAX_VALUE ? 0 : remaining / Clock.MS + 1);
                 }
             }
         } catch (InterruptedException e) {
-            throw new IllegalStateException("nothing interrupts this thread", e);
+            throw new IllegalStateException("the timer thread was interrupted", e);
         }
         return takeDue(clock.now());
     }
 
-    /** Removes and returns what is due at this time, in order. */
+    /** Removes and returns the tasks that are due at this time, in order. */
     synchronized List<Runnable> takeDue(long now) {
         List<Runnable> due = new ArrayList<>();
         while (!pending.isEmpty() && pending.firstKey().at() <= now) {
--- a/pooler/src/main/java/holdmux/core/Extension.java
+++ b/pooler/src/main/java/holdmux/core/Extension.java
@@ -3,17 +3,17 @@
 import java.io.IOException;
 import java.util.Set;
 
-/** A further protocol or duty that a process is started with, beside PostgreSQL's. */
+/** An optional component of a process: a further protocol beside PostgreSQL's, or another service. */
 public interface Extension {
-    /** The kinds of server that {@link #upstream} reaches; none where the part is a front alone. */
+    /** Returns the kinds of server that {@link #upstream} serves; empty if there is no upstream. */
     Set<String> kinds();
 
-    /** Called once, before the first list; null where there are no kinds. */
+    /** Creates the upstream; null if there are no kinds. Called once, before the first server list. */
     Upstream upstream(Services services);
 
-    /** Called once; null where the part is an upstream alone. */
+    /** Creates the front; null if there is none. Called once. */
     Front front(Services services) throws IOException;
 
-    /** Called once, when all is wired and before anything listens; may wait a little for what must come first. */
+    /** Starts the extension; may block shortly until it is ready. Called once, after set-up and before any front listens. */
     default void start(PolicyControl control) throws IOException, InterruptedException {}
 }
--- a/pooler/src/main/java/holdmux/core/Front.java
+++ b/pooler/src/main/java/holdmux/core/Front.java
@@ -2,29 +2,29 @@
 
 import java.io.IOException;
 
-/** One way in for clients, with what a start, an operator and an end ask of it. */
+/** One client-facing protocol, with the operations that start-up, operators and shutdown need. */
 public interface Front {
-    /** From now on clients can connect. */
+    /** Starts to listen: clients can connect from now on. */
     void listen() throws IOException;
 
-    /** Whether clients are taken in. */
+    /** Whether new clients are accepted. */
     boolean isServing();
 
-    /** Sends clients away, each as soon as nothing is owed to it, or takes them in again. */
+    /** Starts or stops sending clients away: a client's connection is closed as soon as it has no request open. */
     void setEvacuating(boolean evacuating);
 
-    /** The program ends after this: from now on nothing is taken that may need longer. */
+    /** Announces that the process ends after this time: requests that may take longer are refused from now on. */
     void announceShutdown(long delayNs);
 
-    /** Another process of this pooler takes the clients: each is sent there behind its next answer. */
+    /** Hands clients over to another process of this pooler: connections close after their next answer, clients reconnect there. */
     void handOver();
 
-    /** Returns once nobody new can connect and whoever had connected is taken in. */
+    /** Stops listening; returns once no new client can connect and all that had connected are accepted. */
     void stopAccepting() throws InterruptedException;
 
-    /** Ends each client's connection once nothing is owed on it. */
+    /** Closes each client's connection once it has no request open. */
     void closeWhenIdle();
 
-    /** Client connections open now. */
+    /** Returns the number of open client connections. */
     int openClients();
 }
--- a/pooler/src/main/java/holdmux/core/Fronts.java
+++ b/pooler/src/main/java/holdmux/core/Fronts.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All fronts of a process as one. */
+/** Combines all fronts of a process into one. */
 public final class Fronts implements Front {
     private final List<Front> all;
 
@@ -12,7 +12,7 @@
         this.all = List.copyOf(all);
     }
 
-    /** A front and those of the parts that have one. */
+    /** Combines a front with those of the extensions that have one. */
     public static Fronts of(Front first, List<Extension> extensions, Services services) throws IOException {
         List<Front> all = new ArrayList<>(List.of(first));
         for (Extension extension : extensions) {
--- a/pooler/src/main/java/holdmux/core/IdleConnections.java
+++ b/pooler/src/main/java/holdmux/core/IdleConnections.java
@@ -11,24 +11,27 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** Connections to servers kept while idle and used again, the latest first; each holds a slot until it is discarded. */
+/** Pool of idle server connections, reused most recent first; each connection holds a slot until it is discarded. */
 public final class IdleConnections<C extends IdleConnections.Connection> {
-    /** Part of the servers' idle time after which we close first: half leaves no race with the server's close. */
+    /** Divides the servers' idle time-out: connections are closed after half of it, which avoids a race with the server's close. */
     private static final int IDLE_TIMEOUT_DIVISOR = 2;
 
-    /** One connection to one server. */
+    /** A connection to one server. */
     public interface Connection {
+        /** Returns the server's number in {@link ServerRegistry}. */
         long serverId();
 
+        /** Returns the address that the connection was opened to. */
         InetSocketAddress address();
 
-        /** Whether it still stands with nothing to be read: neither an end nor a late word. */
+        /** Whether the connection is open and has nothing to read, neither an end of stream nor late data. */
         boolean isReusable();
 
-        /** Ends it; never throws. */
+        /** Closes the connection; never throws. */
         void close();
     }
 
+    /** An idle connection, with the deadline at which it is closed. */
     private record Idle<C>(C connection, Deadline closeDeadline) {}
 
     private final ServerRegistry registry;
@@ -37,11 +40,11 @@
     private final Counters counters;
     private final ServerSlots slots;
     private final LongSupplier serverIdleTimeoutNs;
-    /** By server, none empty, and all by when they are closed, so that the oldest is found however many servers there are. */
+    /** Idle connections by server, without empty queues, and all by close time, so that finding the oldest needs no scan. */
     private final Map<Long, Deque<Idle<C>>> idleByServer = new HashMap<>();
     private final TreeMap<Deadline, C> byDeadline = new TreeMap<>();
 
-    /** {@code idleNs}: after how long the servers close what is idle. */
+    /** Creates an empty pool; {@code serverIdleTimeoutNs} is the time after which the servers close idle connections. */
     public IdleConnections(ServerRegistry registry, Clock clock, Deadlines deadlines, Counters counters, ServerSlots slots,
             LongSupplier serverIdleTimeoutNs) {
         this.registry = registry;
@@ -52,7 +55,7 @@
         this.serverIdleTimeoutNs = serverIdleTimeoutNs;
     }
 
-    /** An idle connection that still stands, or null. */
+    /** Removes and returns a reusable idle connection to a server, or returns null if there is none. */
     public C take(long serverId) {
         while (true) {
             Idle<C> found;
@@ -73,7 +76,7 @@
         }
     }
 
-    /** Keeps a connection for the next use. */
+    /** Puts a connection that is no longer in use into the pool. */
     public void keep(C connection) {
         synchronized (this) {
             Deque<Idle<C>> queue = idleByServer.computeIfAbsent(connection.serverId(), s -> new ArrayDeque<>());
@@ -84,7 +87,7 @@
         }
     }
 
-    /** No longer idle; only under this object's monitor. */
+    /** Removes an entry from the pool; must be called with this object's monitor held. */
     private void remove(Idle<C> entry) {
         long serverId = entry.connection().serverId();
         Deque<Idle<C>> queue = idleByServer.get(serverId);
@@ -96,7 +99,7 @@
         deadlines.cancel(entry.closeDeadline());
     }
 
-    /** Closes a connection that is in use and gives back its slot. */
+    /** Closes a connection that is not in the pool and releases its slot. */
     public void discard(C connection) {
         connection.close();
         slots.release();
@@ -108,7 +111,7 @@
             Idle<C> found = queue == null ? null
                     : queue.stream().filter(i -> i.connection() == connection).findFirst().orElse(null);
             if (found == null) {
-                return; // taken meanwhile
+                return; // in use again
             }
             remove(found);
         }
@@ -116,10 +119,10 @@
         discard(connection);
     }
 
-    /** A slot for a new connection: at the cap that of the one that has been idle longest; false if none is to be had. */
+    /** Reserves a slot for a new connection, if need be by closing the one idle for longest; false if all are in use. */
     public boolean reserve() {
         boolean reserved = slots.reserve();
-        while (!reserved && closeOldest()) { // another thread may have been quicker to the slot, or to the connection
+        while (!reserved && closeOldest()) { // another thread may have taken the slot or the connection
             reserved = slots.reserve();
         }
         if (!reserved) {
--- a/pooler/src/main/java/holdmux/core/Log.java
+++ b/pooler/src/main/java/holdmux/core/Log.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The program's log: one line an event on standard error, written by a thread of its own. Whoever reads that may stall, and
- * then no other thread waits for it: lines beyond those that wait are dropped and counted. docs/oncall.md lists the lines.
+ * The program's log: one line per event on standard error, written by a separate thread, so that a stalled reader blocks no
+ * other thread. Lines that do not fit into the queue are dropped and counted. docs/oncall.md lists the lines.
  */
 public final class Log {
-    /** Lines that may wait to be written. */
+    /** Capacity of the queue of lines to be written. */
     private static final int MAX_QUEUED_LINES = 1_024;
     private static final long FLUSH_TIMEOUT_MS = 500, FLUSH_POLL_MS = 5;
 
     private static final BlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
-    /** Lines taken from the queue whose writing has not ended, and lines dropped so far. */
+    /** Lines accepted but not written yet, and lines dropped so far. */
     private static final AtomicLong UNWRITTEN = new AtomicLong(), DROPPED = new AtomicLong();
 
     static {
@@ -25,30 +25,32 @@
 
     private Log() {}
 
+    /** Logs an event of normal operation. */
     public static void info(String message) {
         enqueue("info " + message);
     }
 
+    /** Logs a condition that an operator should know of. */
     public static void warn(String message) {
         enqueue("warn " + message);
     }
 
-    /** A fault with where it was thrown. */
+    /** Logs an exception with the place where it was thrown. */
     public static void error(String message, Throwable cause) {
         try {
             StackTraceElement[] trace = cause.getStackTrace();
             enqueue("error " + message + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
         } catch (OutOfMemoryError e) {
-            DROPPED.incrementAndGet(); // whoever logs a fault goes on; there is no room for its line
+            DROPPED.incrementAndGet(); // the line is lost, but the caller must go on
         }
     }
 
-    /** Lines that were dropped since nobody read the log. */
+    /** Returns the number of lines dropped so far. */
     static long dropped() {
         return DROPPED.get();
     }
 
-    /** Waits until all lines so far are written, for a short while: before the process ends. */
+    /** Waits for a short time until all lines so far are written; to be called before the process ends. */
     public static void flush() {
         long deadline = System.nanoTime() + FLUSH_TIMEOUT_MS * Clock.MS;
         try {
@@ -74,7 +76,7 @@
                 System.err.println(QUEUE.take());
                 UNWRITTEN.decrementAndGet();
             } catch (InterruptedException | RuntimeException | Error e) {
-                DROPPED.incrementAndGet(); // a line is lost, the thread goes on
+                DROPPED.incrementAndGet(); // the line is lost; the thread must go on
             }
         }
     }
--- a/pooler/src/main/java/holdmux/core/PolicyControl.java
+++ b/pooler/src/main/java/holdmux/core/PolicyControl.java
@@ -5,27 +5,27 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** What a part that holds the whole fleet's policy may do with the pooler that it runs in. */
+/** What an extension that receives the fleet-wide policy can do with the pooler it runs in. */
 public interface PolicyControl {
-    /** The pooler's services; its configuration is that of the start. */
+    /** Returns the pooler's services; their configuration is the one read at start-up. */
     Services services();
 
     /**
-     * Puts a policy in force, as one swap: a request is decided under the old or the new, and what is open keeps what it
-     * came under. From the first call on the pooler's own file no longer tells these.
+     * Puts a policy in force atomically: each request is decided under the old or the new one, and open requests keep the
+     * one they arrived under. From the first call on it replaces the corresponding settings of the pooler's own file.
      *
-     * @param discovery where to ask for the server list, null to go on as the file tells
-     * @param excluded  servers left out beside those that this pooler's operators left out
+     * @param discovery the discovery address, or null to use the one in the pooler's file
+     * @param excluded  servers excluded in addition to those that this pooler's operators excluded
      * @param evacuated whether this pooler sends its clients away
      */
     void applyPolicy(Deployment deployment, InetSocketAddress discovery, Set<String> excluded, boolean evacuated);
 
     /**
-     * Asks before each new request whether it may be taken: {@code closed} gives null, or in words why this pooler takes
-     * nothing new. Called by many threads, for every request: it must not block.
+     * Sets the check made before each new request: {@code refusalReason} returns null, or in words why this pooler refuses
+     * new requests. Many threads call it, for every request: it must not block.
      */
     void setAdmissionGate(Supplier<String> refusalReason);
 
-    /** Adds a row that {@code SHOW STATS} tells beside the counters, computed whenever it is asked for. */
+    /** Adds a row to {@code SHOW STATS} beside the counters; its value is computed on each query. */
     void addStat(String name, Supplier<String> value);
 }
--- a/pooler/src/main/java/holdmux/core/QueryResult.java
+++ b/pooler/src/main/java/holdmux/core/QueryResult.java
@@ -3,19 +3,19 @@
 import java.io.Closeable;
 
 /**
- * What a server gave for a request, on its way to the client. Whoever holds it closes it, passed on or not; that gives
- * back its buffers and its server's connection.
+ * A server's result for a request, on its way to the client. Its owner must close it, whether it was sent or not; closing
+ * releases its buffers and the server connection.
  */
 public interface QueryResult extends Closeable {
-    /** In what form a front can pass a value on. */
+    /** The shape of result that a front can send. */
     enum Shape {
         /** One row of one column: a {@link ScalarResult}. */
         CELL,
-        /** Any table that its front knows, or a {@link ScalarResult}. */
+        /** A table in the front's own protocol, or a {@link ScalarResult}. */
         TABLE
     }
 
-    /** Gives back what it holds; never throws. */
+    /** Releases the result's resources; never throws. */
     @Override
     void close();
 }
--- a/pooler/src/main/java/holdmux/core/Request.java
+++ b/pooler/src/main/java/holdmux/core/Request.java
@@ -8,30 +8,36 @@
 import java.util.Deque;
 import java.util.List;
 
-/** One client request as the core sees it; {@link Balancer#execute} is its life. */
+/** One client request, independent of its protocol; {@link Balancer#execute} runs it. */
 public final class Request {
-    /** What the front end read of it; {@code tokenPositionNs} is 0 where the client carries none. */
+    /**
+     * The parameters that a front read.
+     *
+     * @param isRetry whether the client marks the request as a retry
+     * @param tokenPositionNs the position of the session's last write that the client carries; 0 if it carries none
+     */
     public record Spec(String className, Consistency consistency, boolean isRetry, long remainingNs, long tokenPositionNs, long session,
             int group) {}
 
-    /** What the life of the request must do next. */
+    /** The next step for the thread that runs the request. */
     sealed interface Step permits Send, End, ClientGone {}
 
+    /** Run an attempt. */
     record Send(Attempt attempt) implements Step {}
 
-    /** The module's final answer. */
+    /** Send the final answer that the decision module chose. */
     record End(Action answer) implements Step {}
 
-    /** The client has gone away: nothing is owed. */
+    /** Stop: the client has left and gets no answer. */
     record ClientGone() implements Step {}
 
     final long id;
     final Spec spec;
     private final Deque<Step> steps = new ArrayDeque<>(4);
-    /** Attempts by number, and whether nothing more is owed; both under the balancer's lock. */
+    /** Attempts by index, and whether the final answer is decided or the client has left; guarded by the balancer's lock. */
     final List<Attempt> attempts = new ArrayList<>(2);
     boolean finished;
-    /** When its client left, 0 if it did not; how often its class may take effect, once that is known. */
+    /** When the client left, 0 if it has not; and how often a request of its class may take effect, set on arrival. */
     long clientLeftAt;
     Effect effect = Effect.IDEMPOTENT;
 
@@ -40,11 +46,13 @@
         this.spec = spec;
     }
 
+    /** Adds a step for the thread that runs the request. */
     synchronized void post(Step step) {
         steps.add(step);
         notifyAll();
     }
 
+    /** Removes and returns the next step; blocks until there is one. */
     synchronized Step next() throws InterruptedException {
         while (steps.isEmpty()) {
             wait();
--- a/pooler/src/main/java/holdmux/core/Responder.java
+++ b/pooler/src/main/java/holdmux/core/Responder.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** A front's side of one request: it takes the client the one final answer, and decides nothing. */
+/** Sends the only final answer of one request to its client, in the protocol of its front. */
 public interface Responder {
-    /** In what form this front can pass a value on. */
+    /** Returns the shape of result that this front can send. */
     QueryResult.Shape resultShape();
 
-    /** Final answer: this value, which stays the caller's to close. */
+    /** Answers with this result, which the caller closes. */
     void serve(QueryResult result) throws IOException;
 
-    /** Final answer: refused, trying again is harmless and best done after so long (0: no advice). */
+    /** Answers that the request was refused: a retry is safe, best after this time (0 for no hint). */
     void refuse(long retryAfterNs) throws IOException;
 
-    /** Final answer: failed; it may have taken effect. */
+    /** Answers that the request failed; it may have taken effect. */
     void fail() throws IOException;
 }
--- a/pooler/src/main/java/holdmux/core/ScalarResult.java
+++ b/pooler/src/main/java/holdmux/core/ScalarResult.java
@@ -3,21 +3,21 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** The value that every front and every upstream knows: one row of one column, as bytes. */
+/** One row of one column, as bytes: the result that every front and every upstream supports. */
 public interface ScalarResult extends QueryResult {
-    /** For {@link #length}: the column is null. */
+    /** The {@link #length} of SQL null. */
     int NULL = -1;
 
-    /** The column's name. */
+    /** Returns the column's name. */
     String column();
 
-    /** How many bytes there are, or {@link #NULL}. */
+    /** Returns the number of bytes, or {@link #NULL}. */
     int length();
 
     /**
-     * Passes all bytes on, once, as they come from the server.
+     * Copies all bytes to a stream as they arrive from the server; can be called once.
      *
-     * @throws IOException if not all of them came or could be written; some may have been
+     * @throws IOException if not all bytes arrived or could be written; some may have been written
      */
     void writeTo(OutputStream out) throws IOException;
 }
--- a/pooler/src/main/java/holdmux/core/SendGate.java
+++ b/pooler/src/main/java/holdmux/core/SendGate.java
@@ -14,22 +14,22 @@
 import java.util.Set;
 
 /**
- * The one place that lets bytes of a request, of its repeat or of a probe go out to a server. It asks the decision module
- * and checks what the module rests on by a record of its own: what was told of each server, who has left, which attempts
- * may have run. What goes out past a rule all the same is counted ({@code violations_*}) and logged with its ids.
+ * The only place that permits writing a request, a retry or a probe to a server; it is asked right before the write. It
+ * takes the decision module's answer and checks it against its own record of server availability, clients that have left and
+ * attempts that may have run. A write that breaks a rule all the same is counted ({@code violations_*}) and logged with its ids.
  *
- * <p>Not thread-safe: it is used under the balancer's lock. It has no clock; times are handed in.
+ * <p>Not thread-safe: it is used under the balancer's lock. It has no clock; times are passed in.
  */
 final class SendGate {
-    /** What a client that has gone may still cause: an attempt that began this long after its end breaks the rule. */
+    /** A send permitted later than this after its client has left counts as a violation. */
     private static final long CLIENT_GONE_GRACE_NS = 100 * Clock.MS;
-    /** A process may lose its core between the permission and the write for so long; the grace of a drain covers that. */
+    /** Time between permission and write for which a process may lose its core; the drain grace covers it, longer ones are counted. */
     private static final long MAX_WRITE_DELAY_NS = 150 * Clock.MS;
 
-    /** Servers remembered, those that are gone among them; beyond that the gone ones are dropped. */
+    /** Number of servers, gone ones included, beyond which the gone ones are dropped from the record. */
     private static final int MAX_SERVERS = 8_192;
 
-    /** What was told of a server, and since when it takes nothing new; {@code stoppedAt} means nothing while it is ready. */
+    /** A server's availability, and since when it accepts no new work; {@code unavailableSince} has no meaning while it is ready. */
     private record ServerState(Availability availability, long unavailableSince) {
         boolean isReady() {
             return availability == Availability.READY;
@@ -42,9 +42,9 @@
 
     private final Counters counters;
     private final ServerRegistry registry;
-    /** What was told last of each server, by its number; one that is not here is as good as gone. */
+    /** The last known state of each server, by its number; a server without an entry counts as gone. */
     private final Map<Long, ServerState> servers = new HashMap<>();
-    /** Whether discovery has still to confirm what was told of any server. */
+    /** Whether discovery has yet to confirm the server list. */
     private boolean listUnconfirmed;
 
     SendGate(Counters counters, ServerRegistry registry) {
@@ -52,12 +52,12 @@
         this.registry = registry;
     }
 
-    /** Whether nothing may be sent to any server, since discovery has not confirmed the list yet. */
+    /** Sets whether all sends are withheld because discovery has not confirmed the server list. */
     void requireListConfirmation(boolean required) {
         listUnconfirmed = required;
     }
 
-    /** Takes in what was told of servers. */
+    /** Applies a change of the server list; a full or cached list marks the servers it omits as gone. */
     void updateAvailability(ListChanged change, long now) {
         Set<Long> listed = new HashSet<>();
         for (Listing line : change.lines()) {
@@ -82,8 +82,8 @@
     /**
      * Whether an attempt may be written now.
      *
-     * @param byModule what the decision module says
-     * @param goneIsAdvice whether a removal without a drain binds nobody here, see the settings
+     * @param modulePermission the decision module's answer
+     * @param goneIsAdvice whether the settings make a removal without a drain advisory, so that it forbids no sends
      */
     boolean permits(Request request, Attempt attempt, Permission modulePermission, boolean goneIsAdvice, long now) {
         Permission permission = modulePermission;
@@ -112,7 +112,7 @@
     private Permission listPermission(long serverId, boolean goneIsAdvice) {
         ServerState state = servers.get(serverId);
         if (state == null || state.isGone()) {
-            // where a removal is advice, nobody can reach a server without an address, and that is Fleet's to say
+            // where a removal is advisory, a server without an address in ServerRegistry cannot be reached anyway
             return goneIsAdvice ? Permission.ALLOWED : Permission.SERVER_GONE;
         }
         return state.isReady() ? Permission.ALLOWED : Permission.SERVER_DRAINING;
@@ -127,7 +127,7 @@
         return true;
     }
 
-    /** Checks an attempt whose last byte has gone out against the rules. */
+    /** Checks an attempt whose last byte has been written against the rules, and reports violations. */
     void checkWritten(Request request, Attempt attempt, boolean goneIsAdvice, long graceNs, long now) {
         if (attempt.permittedAt == 0) {
             reportViolation(Counter.VIOLATIONS_UNPERMITTED, request, attempt, now);
@@ -150,7 +150,7 @@
         }
     }
 
-    /** A request's life is over, and its client was there and has no answer. */
+    /** Reports that a request ended without an answer although its client had not left. */
     void reportUnanswered(Request request) {
         counters.count(Counter.VIOLATIONS_NO_ANSWER);
         Log.warn("rule broken: request " + request.id + " of class " + request.spec.className() + " ended without an answer");
@@ -165,8 +165,8 @@
         ServerState state = servers.get(attempt.serverId);
         boolean unavailable = state != null && !state.isReady();
         return "request " + request.id + " of class " + request.spec.className() + ", attempt " + attempt.number + " at "
-                + registry.name(attempt.serverId) + ", begun " + (now - attempt.startedAt) / Clock.MS + " ms ago, server told "
-                + (state == null ? "nothing of" : state.availability())
-                + (unavailable ? " " + (now - state.unavailableSince()) / Clock.MS + " ms ago" : "");
+                + registry.name(attempt.serverId) + ", begun " + (now - attempt.startedAt) / Clock.MS + " ms ago, server "
+                + (state == null ? "not listed" : state.availability())
+                + (unavailable ? " for " + (now - state.unavailableSince()) / Clock.MS + " ms" : "");
     }
 }
--- a/pooler/src/main/java/holdmux/core/SendGuard.java
+++ b/pooler/src/main/java/holdmux/core/SendGuard.java
@@ -1,11 +1,11 @@
 package holdmux.core;
 
-/** What an attempt asks right before its bytes go out, and tells once they have. */
+/** Asked by an attempt right before its bytes are written, and notified once they have been. */
 @FunctionalInterface
 public interface SendGuard {
-    /** Whether the bytes may go out now; what was decided when the attempt began may no longer hold. */
+    /** Whether the bytes may be written now; conditions may have changed since the attempt was started. */
     boolean mayWrite();
 
-    /** The last byte has been written. */
+    /** Called when the last byte has been written. */
     default void onWritten() { }
 }
--- a/pooler/src/main/java/holdmux/core/ServerRegistry.java
+++ b/pooler/src/main/java/holdmux/core/ServerRegistry.java
@@ -17,13 +17,13 @@
 import java.util.Set;
 import java.util.zip.CRC32;
 
-/** Who the servers are: the module's number and the present address of each, and the groups there are. */
+/** The known servers, with the number that the decision module knows each by and its current address, and the known groups. */
 public final class ServerRegistry {
     private static final long MS = Clock.MS;
-    /** Drains and removals remembered: more than a large fleet has servers. */
+    /** Drains and removals remembered; more than the number of servers in a large deployment. */
     private static final int MAX_WITHDRAWALS = 8_192;
 
-    /** That a server takes nothing new: the version of the list that said so, and when the server had last started. */
+    /** A drain or removal of a server: the version of the list that reported it, and when the server had last started. */
     private record Withdrawal(long listVersion, long startedAtMs, Availability availability) {
         Withdrawal withListVersion(long otherVersion) {
             return new Withdrawal(otherVersion, startedAtMs, availability);
@@ -36,11 +36,11 @@
     private final Map<Long, String> namesById = new HashMap<>();
     private final Map<Long, InetSocketAddress> addressesById = new HashMap<>();
     private final Set<Integer> groups = new HashSet<>();
-    /** What discovery said last of each server that is not gone. */
+    /** The last entry that discovery reported for each server that is not gone. */
     private final Map<String, Host> hostsByName = new HashMap<>();
-    /** Servers that the operators left out, with the Unix time in milliseconds since when; no list undoes it. */
+    /** Servers excluded by operators, with the Unix time in milliseconds of the exclusion; no list ends an exclusion. */
     private Map<String, Long> excluded = Map.of();
-    /** Servers that were told to drain or to be gone, the latest of them, and by which list. */
+    /** The latest drain or removal of each server; bounded, the oldest are dropped. */
     private final Map<String, Withdrawal> withdrawals = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -52,38 +52,41 @@
     private long staleEntries;
     private long listVersion;
 
+    /** Creates an empty registry; zones and kinds are numbered by their index in these lists. */
     public ServerRegistry(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    /** Where a server listens now; null once it is gone. */
+    /** Returns a server's current address; null once it is gone. */
     public synchronized InetSocketAddress address(long serverId) {
         return addressesById.get(serverId);
     }
 
+    /** Whether any server of this group was ever listed. */
     public synchronized boolean hasGroup(int group) {
         return groups.contains(group);
     }
 
+    /** Returns the name of a server; it is kept when the server is gone. */
     public synchronized String name(long serverId) {
         return namesById.get(serverId);
     }
 
-    /** The kind of server that discovery's entry names; null for one that is gone. */
+    /** Returns the kind of server that discovery reports; null for a server that is gone. */
     public synchronized String kind(long serverId) {
         Host host = hostsByName.get(namesById.get(serverId));
         return host == null ? null : host.kind();
     }
 
-    /** Whether discovery lists a server of this name. */
+    /** Whether discovery currently lists a server of this name. */
     public synchronized boolean contains(String name) {
         return hostsByName.containsKey(name);
     }
 
     /**
-     * Leaves out just these servers from now on, and tells what that changes as the module's event: who is left out
-     * drains, whatever the list says; who is put back was restarted meanwhile, for all we know, and is cold.
+     * Replaces the set of excluded servers and returns the resulting event for the decision module. An excluded server
+     * drains, whatever the list says; a server that is readmitted may have been restarted meanwhile and counts as cold.
      */
     synchronized ListChanged setExcluded(Map<String, Long> servers, long nowMs) {
         Map<String, Long> previous = excluded;
@@ -101,8 +104,8 @@
     }
 
     /**
-     * Takes in a list and tells it as the module's event; a whole list removes what it omits. A list that is older than the
-     * one that told of a drain or a removal does not undo it, and neither does an entry that cannot be read.
+     * Applies a list and returns the resulting event for the decision module; a whole list removes the servers it omits. A
+     * drain or removal is not undone by a list older than the one that reported it, nor by an entry that cannot be read.
      */
     synchronized ListChanged apply(HostList list, boolean cached) {
         if (list.whole()) {
@@ -119,7 +122,8 @@
                         : current.withAvailability(unfit.reportsRemoved() ? Availability.GONE : Availability.DRAINING)));
             }
         }
-        withdrawals.replaceAll((name, withdrawal) -> withdrawal.listVersion() > list.seq() ? withdrawal.withListVersion(list.seq()) : withdrawal);
+        withdrawals.replaceAll((name, withdrawal) -> withdrawal.listVersion() > list.seq() ? withdrawal.withListVersion(list.seq())
+                : withdrawal);
         listVersion = list.seq();
         ListMode mode = cached ? ListMode.CACHED : list.whole() ? ListMode.FULL : ListMode.DELTA;
         return new ListChanged(mode, list.seq(), lines);
@@ -130,12 +134,12 @@
         list.hosts().forEach(host -> listed.add(host.name()));
         list.unfit().forEach(unfit -> listed.add(unfit.name()));
         List<Host> omitted = hostsByName.values().stream().filter(host -> !listed.contains(host.name())).toList();
-        // an entry that cannot be read and names nobody may be that of a server which seems to be omitted
+        // an unreadable entry without a name may belong to a server that appears to be omitted
         boolean certain = list.unfit().stream().allMatch(unfit -> listed.contains(unfit.name()) && !unfit.name().isEmpty());
         omitted.forEach(host -> apply(certain ? list.seq() : inferredVersion(list), host.withAvailability(Availability.GONE)));
     }
 
-    /** The version of what is inferred from entries that cannot be read: the same list, once it can be read, undoes it. */
+    /** The version given to what is inferred from unreadable entries; the same list, once readable, then overrides it. */
     private static long inferredVersion(HostList list) {
         return list.seq() - 1;
     }
@@ -148,7 +152,8 @@
             Host previous = hostsByName.get(host.name());
             Withdrawal withdrawal = withdrawals.get(host.name());
             long startedAtMs = Math.max(host.bornMs(), previous == null ? 0 : previous.bornMs());
-            withdrawals.put(host.name(), new Withdrawal(withdrawal == null ? version : Math.max(version, withdrawal.listVersion()), startedAtMs, host.availability()));
+            withdrawals.put(host.name(), new Withdrawal(withdrawal == null ? version : Math.max(version, withdrawal.listVersion()),
+                    startedAtMs, host.availability()));
         }
         if (host.availability() == Availability.GONE) {
             addressesById.remove(serverId);
@@ -160,7 +165,7 @@
         return listing(host);
     }
 
-    /** What holds of a server that a list of this version says something of. */
+    /** Returns the availability to use for a server that a list of this version reports, given earlier drains and removals. */
     private Availability effectiveAvailability(long version, Host host) {
         Withdrawal withdrawal = withdrawals.get(host.name());
         if (withdrawal == null) {
@@ -178,7 +183,7 @@
         return isStale ? withdrawal.availability() : host.availability();
     }
 
-    /** How often a list was too old to put a server back that drains or was removed. */
+    /** Returns how many list entries were ignored because they were older than the server's drain or removal. */
     public synchronized long staleEntries() {
         return staleEntries;
     }
@@ -190,14 +195,14 @@
                 host.primary(), host.bornMs() * MS, host.share());
     }
 
-    /** From the name alone, so that every pooler orders the servers alike; the module's choice of one rests on it. */
+    /** Derives a server's number from its name alone: the module's choices depend on the numbers, and all poolers must agree. */
     private long serverId(String name) {
         return idsByName.computeIfAbsent(name, n -> {
             CRC32 crc = new CRC32();
             crc.update(n.getBytes(StandardCharsets.UTF_8));
             long id = crc.getValue();
             while (namesById.containsKey(id)) {
-                id++; // two names with one checksum must not become one server
+                id++; // two names with the same checksum need different numbers
             }
             namesById.put(id, n);
             return id;
--- a/pooler/src/main/java/holdmux/core/Services.java
+++ b/pooler/src/main/java/holdmux/core/Services.java
@@ -3,7 +3,7 @@
 import holdmux.config.Config;
 import java.util.function.Supplier;
 
-/** What one process has of each kind, for the fronts and upstreams that share it. */
+/** The components of one pooler process that its fronts, upstreams and extensions share. */
 public record Services(Config config, Balancer balancer, Admission admission, ServerRegistry registry, Clock clock,
         Deadlines deadlines, Counters counters, Workers workers, OtherProcess otherProcess, ServerSlots slots) {
     /** See {@link PolicyControl#setAdmissionGate}. */
--- a/pooler/src/main/java/holdmux/core/UpdateResult.java
+++ b/pooler/src/main/java/holdmux/core/UpdateResult.java
@@ -1,9 +1,9 @@
 package holdmux.core;
 
-/** A write that went through and gives back no row, only how many it touched. */
+/** The result of a write that returns no rows, only the number of rows affected. */
 public record UpdateResult(long rows) implements QueryResult {
     @Override
     public void close() {
-        // holds nothing
+        // holds no resources
     }
 }
--- a/pooler/src/main/java/holdmux/core/Upstreams.java
+++ b/pooler/src/main/java/holdmux/core/Upstreams.java
@@ -4,23 +4,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which protocol each server speaks, by the kind that discovery's entry names. */
+/** Selects the upstream of each server by the server kind that discovery reports. */
 public final class Upstreams {
     private final ServerRegistry registry;
     private final Upstream defaultUpstream;
     private final Map<String, Upstream> byKind = new HashMap<>();
 
-    /** {@code usual} serves every kind that is not named later. */
+    /** Creates a selection in which {@code defaultUpstream} serves all kinds that are not added. */
     public Upstreams(ServerRegistry registry, Upstream defaultUpstream) {
         this.registry = registry;
         this.defaultUpstream = defaultUpstream;
     }
 
-    /** Servers of these kinds are reached by this upstream; before the first list. */
+    /** Assigns an upstream to these kinds of server; must be called before the first server list. */
     public void add(Set<String> kinds, Upstream upstream) {
         kinds.forEach(kind -> byKind.put(kind, upstream));
     }
 
+    /** Returns the upstream of a server. */
     public Upstream forServer(long serverId) {
         return byKind.isEmpty() ? defaultUpstream : byKind.getOrDefault(registry.kind(serverId), defaultUpstream);
     }
--- a/pooler/src/main/java/holdmux/core/Workers.java
+++ b/pooler/src/main/java/holdmux/core/Workers.java
@@ -7,24 +7,25 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** Threads that carry requests and probes through: as many as there is work, up to a cap, and never a queue. */
+/** Thread pool for requests and probes: grows with the work up to a maximum, and never queues. */
 public final class Workers implements Executor {
-    /** The deepest stack is a statement's parse or the module's turn: a few dozen frames. */
+    /** Enough for the deepest stacks, statement parsing and the decision module, of a few dozen frames. */
     private static final long STACK_BYTES = 256 * 1024;
-    /** An idle thread is kept through the lulls of a wave of requests. */
+    /** Keeps idle threads through short pauses within a burst of requests. */
     private static final long KEEP_ALIVE_S = 10;
 
-    /** Between a lasting thread's fault and its next begin: no spin where the cause stays. */
+    /** Delay before a failed thread's work is restarted; prevents a busy loop while the cause persists. */
     private static final long RESTART_DELAY_MS = 100;
 
     private final ThreadPoolExecutor pool;
 
+    /** Creates a pool without threads. */
     public Workers(int maxThreads) {
         pool = new ThreadPoolExecutor(0, maxThreads, KEEP_ALIVE_S, TimeUnit.SECONDS, new SynchronousQueue<>(),
                 work -> newThread("worker", work));
     }
 
-    /** A platform thread with a small stack that does not keep the program alive. */
+    /** Creates a daemon thread with a small stack. */
     public static Thread newThread(String name, Runnable work) {
         Thread thread = new Thread(null, work, name, STACK_BYTES);
         thread.setDaemon(true);
@@ -32,8 +33,8 @@
     }
 
     /**
-     * A thread like {@link #newThread} for work that goes on as long as the program: if it throws, an Error too, it is begun
-     * again after a short pause, with a line in the log and a counter.
+     * Creates a thread like {@link #newThread} for work that lasts as long as the program. If the work throws, an Error
+     * included, this is logged and counted, and the work is restarted after a short delay.
      */
     public static Thread restartingThread(String name, Counters counters, Runnable work) {
         return newThread(name, () -> {
@@ -43,7 +44,7 @@
         });
     }
 
-    /** Whether the work came to an end of its own. */
+    /** Runs the work; true if it returned normally, false if it threw. */
     private static boolean runOnce(String name, Counters counters, Runnable work) {
         try {
             work.run();
@@ -59,17 +60,17 @@
         try {
             Thread.sleep(RESTART_DELAY_MS);
         } catch (InterruptedException e) {
-            // nothing interrupts these threads on purpose; the work begins again all the same
+            // these threads are not interrupted on purpose; the work is restarted all the same
         }
     }
 
-    /** Starts the work at once, or throws {@link RejectedExecutionException} at the cap. */
+    /** Starts the work at once; throws {@link RejectedExecutionException} if all threads are busy or none can be created. */
     @Override
     public void execute(Runnable work) {
         try {
             pool.execute(work);
         } catch (OutOfMemoryError e) {
-            throw new RejectedExecutionException("no thread to be had", e);
+            throw new RejectedExecutionException("cannot create a thread", e);
         }
     }
 }
--- a/pooler/src/main/java/holdmux/core/WriteListener.java
+++ b/pooler/src/main/java/holdmux/core/WriteListener.java
@@ -2,7 +2,8 @@
 
 import holdmux.decision.SplitterApi.LastWrite;
 
-/** Hears of every write whose answer a client is about to see; returns once whoever must know of it does. */
+/** Told of every write before its client sees the answer. */
 public interface WriteListener {
+    /** Called for each write; returns once all that must know of it have been told. */
     void onWrite(LastWrite write);
 }
