--- a/pooler/src/test/java/holdmux/core/AttemptTest.java
+++ b/pooler/src/test/java/holdmux/core/AttemptTest.java
@@ -10,21 +10,21 @@
 class AttemptTest {
     private boolean closed;
 
-    private Attempt attempt(boolean written, Outcome cut) {
+    private Attempt attempt(boolean written, Outcome abortOutcome) {
         Attempt attempt = new Attempt(1, 0, 0, 1_000, () -> true);
         assertTrue(attempt.attachConnection(() -> closed = true));
         if (written) {
             attempt.markWritten();
         }
-        if (cut != null) {
-            attempt.abort(cut);
+        if (abortOutcome != null) {
+            attempt.abort(abortOutcome);
         }
         return attempt;
     }
 
-    /** The protocol's table: before the last byte nothing ran, after it the request may have. */
+    /** Before the last byte was written nothing has run; after it the request may have. */
     @Test
-    void aBreakMeansWhatWasWritten() {
+    void outcomeOfBrokenConnectionDependsOnWhatWasWritten() {
         assertEquals(Outcome.CONNECT_FAILED, attempt(false, null).failDisconnected());
         assertEquals(Outcome.RESET, attempt(true, null).failDisconnected());
         assertEquals(Outcome.CONNECT_FAILED, attempt(false, Outcome.TIMEOUT).failDisconnected());
@@ -36,27 +36,27 @@
     }
 
     @Test
-    void aCutClosesTheConnectionOnce() {
+    void abortClosesTheConnectionOnce() {
         Attempt attempt = attempt(true, Outcome.TIMEOUT);
         assertTrue(closed);
         attempt.abort(Outcome.CANCELLED);
-        assertEquals(Outcome.TIMEOUT, attempt.failDisconnected(), "the first cause stands");
-        assertFalse(attempt.attachConnection(() -> { }), "nothing is carried on after a cut");
+        assertEquals(Outcome.TIMEOUT, attempt.failDisconnected(), "the first abort decides");
+        assertFalse(attempt.attachConnection(() -> { }), "no connection is attached after an abort");
     }
 
     /** Guards against a late time-out closing a connection that is back in the pool. */
     @Test
-    void aCutAfterTheAnswerTouchesNothing() {
+    void abortAfterTheAnswerIsIgnored() {
         Attempt attempt = attempt(true, null);
         assertTrue(attempt.complete());
         attempt.abort(Outcome.TIMEOUT);
         assertFalse(closed);
-        assertFalse(attempt(true, Outcome.TIMEOUT).complete(), "a cut connection is not clean");
+        assertFalse(attempt(true, Outcome.TIMEOUT).complete(), "an aborted connection is not reusable");
     }
 
-    /** Guards against a write sent twice: a connect time-out already on its way cut it off behind its last byte. */
+    /** Guards against running a write twice: a connect time-out that fires late must not abort a write already sent. */
     @Test
-    void aConnectTimeOutThatComesLateNeitherCutsNorProvesAnything() {
+    void lateConnectTimeOutIsIgnored() {
         Attempt attempt = attempt(false, null);
         attempt.markConnected();
         attempt.abort(Outcome.CONNECT_FAILED);
--- a/pooler/src/test/java/holdmux/core/BalancerTest.java
+++ b/pooler/src/test/java/holdmux/core/BalancerTest.java
@@ -24,7 +24,7 @@
 class BalancerTest {
     private static final int READ = 0, WRITE = 1;
 
-    /** A front and an upstream that play the given outcomes and note what the client is told. */
+    /** A front and an upstream that return the given outcomes in order and record the client's answers. */
     private class ScriptedExchange implements Responder, Upstream {
         final List<String> answers = new ArrayList<>();
         final List<Long> sentTo = new ArrayList<>();
@@ -35,7 +35,7 @@
         }
 
         @Override
-        public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape wanted) {
+        public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape shape) {
             if (fault != null) {
                 throw fault;
             }
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Who carries out attempts now, what it serves, and how often that was closed. */
+    /** The upstream that runs attempts now, the error it throws, and its result with the number of times that was closed. */
     private ScriptedExchange upstream = new ScriptedExchange();
     private Error fault;
     private int closed;
@@ -125,31 +125,31 @@
 
     private ScriptedExchange run(int classIndex, Outcome... outcomes) {
         ScriptedExchange script = new ScriptedExchange(outcomes);
-        Request.Spec call = new Request.Spec(classIndex == READ ? "history" : "save-quote",
+        Request.Spec spec = new Request.Spec(classIndex == READ ? "history" : "save-quote",
                 classIndex == READ ? Consistency.ANY : Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2);
-        execute(balancer.openRequest(call), script);
+        execute(balancer.openRequest(spec), script);
         return script;
     }
 
     @Test
-    void aReadThatIsResetGoesToAnotherServer() {
+    void resetReadIsRetriedOnAnotherServer() {
         ScriptedExchange script = run(READ, Outcome.RESET, Outcome.OK);
         assertEquals(List.of("served"), script.answers);
         assertEquals(2, script.sentTo.stream().distinct().count());
     }
 
-    /** save-quote never runs twice: after an outcome that does not prove that it never ran, it fails. */
+    /** A save-quote request must not run twice: it fails after any outcome that does not prove that it never ran. */
     @Test
-    void aWriteThatMayHaveRunIsNotSentAgain() {
+    void writeThatMayHaveRunIsNotRetried() {
         ScriptedExchange script = run(WRITE, Outcome.RESET);
         assertEquals(List.of("failed"), script.answers);
         assertEquals(1, script.sentTo.size());
         assertEquals(1, counters.get(Counter.FAILED));
     }
 
-    /** What a server gave is given back, passed on or not; what no front can pass on is a failure, since it has run. */
+    /** A result is closed after it was sent; one that no front supports is answered as a failure, since the request has run. */
     @Test
-    void aValueIsClosedAndOneThatFitsNoFrontFails() {
+    void resultIsClosedAndUnsupportedResultFails() {
         assertEquals(List.of("served"), run(READ, Outcome.OK).answers);
         assertEquals(1, closed);
         result = null;
@@ -158,12 +158,12 @@
         assertEquals(1, counters.get(Counter.SERVED));
     }
 
-    /** A fault of this program on the way is the attempt's: one answer all the same. */
+    /** An internal error in an upstream fails the attempt; the client still gets exactly one answer. */
     @Test
-    void anExceptionFailsOneRequest() {
+    void exceptionInUpstreamFailsOnlyItsRequest() {
         ScriptedExchange script = new ScriptedExchange() {
             @Override
-            public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape wanted) {
+            public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape shape) {
                 attempt.markWritten();
                 throw new IllegalStateException("planted");
             }
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void aClientThatLeftIsToldNothing() {
+    void clientThatLeftGetsNoAnswer() {
         Request request = balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 900 * Clock.MS, 0, 7, 2));
         balancer.clientLeft(request);
         ScriptedExchange script = new ScriptedExchange();
@@ -183,9 +183,9 @@
         assertEquals(1, counters.get(Counter.CLIENTS_LEFT));
     }
 
-    /** The module gives up on what nobody can take; its answer goes out at once, with the time to come again. */
+    /** A request that no server can run in time is refused, with the time after which to retry. */
     @Test
-    void whatTheModuleGivesUpOnIsRefusedWithATime() {
+    void requestWithoutServerIsRefusedWithRetryTime() {
         balancer.listChanged(list(true, host("s-2", false, Availability.DRAINING)), false);
         ScriptedExchange script = new ScriptedExchange();
         Request request = balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, Clock.MS, 0, 7, 2));
@@ -195,10 +195,10 @@
         assertEquals(List.of("refused " + 500 * Clock.MS), script.answers);
     }
 
-    /** An attempt that is given up ends at once also where the settings forbid to cancel: it was waited for. */
+    /** Guards against waiting for an abandoned attempt where the settings forbid cancelling: it must be aborted at once. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatIsGivenUpDoesNotWaitForItsAttempt(boolean clientLeft) {
+    void abandonedRequestAbortsItsAttemptAtOnce(boolean clientLeft) {
         Limits noCancel = new Limits(6, true, false, true, true, 500 * Clock.MS, false);
         balancer.reconfigure(deployment(with(settings(), settings().classes(), noCancel), "history", "save-quote"));
         Request request = balancer.openRequest(new Request.Spec("save-quote", Consistency.WRITE, false, 900 * Clock.MS, 0, 7, 2));
@@ -206,7 +206,7 @@
         balancer.setWriteListener(written::add);
         ScriptedExchange script = new ScriptedExchange() {
             @Override
-            public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape wanted) {
+            public AttemptResult attempt(Attempt attempt, Statement statement, QueryResult.Shape shape) {
                 attempt.attachConnection(() -> closed++);
                 attempt.markWritten();
                 if (clientLeft) {
@@ -214,19 +214,19 @@
                 } else {
                     balancer.giveUpAll();
                 }
-                assertEquals(1, closed, "its connection stays");
+                assertEquals(1, closed, "connections closed");
                 return new AttemptResult(Reply.of(attempt.failDisconnected()), null);
             }
         };
         execute(request, script);
         assertEquals(clientLeft ? List.of() : List.of("failed"), script.answers);
-        // it may have committed up to the cut, and a second process of this pooler must know
+        // it may have committed at any time before the abort, which a second process of this pooler must know
         assertEquals(1, written.size());
         assertTrue(written.get(0).positionNs() >= clock.now() - 1_000 * Clock.MS);
     }
 
     @Test
-    void aWholeListRemovesWhatItOmitsAndAddressesMayChange() {
+    void wholeListRemovesOmittedServersAndUpdatesAddresses() {
         long first = registry.apply(list(false, host("s-1", true, Availability.READY)), false).lines().get(0).store();
         Host moved = new Host("s-2", new InetSocketAddress("127.0.0.1", 5599), "north", "std", 2, Availability.READY, 4,
                 1_000, false);
@@ -237,22 +237,22 @@
         assertTrue(registry.hasGroup(2) && !registry.hasGroup(3));
     }
 
-    /** News of discovery must not undo an exclusion; who is put back was restarted meanwhile and is cold. */
+    /** A list from discovery must not undo an exclusion; a readmitted server counts as restarted and cold. */
     @Test
-    void aServerLeftOutDrainsWhateverTheListSays() {
-        Listing out = registry.setExcluded(Map.of("s-1", 10L), 20).lines().get(0);
-        assertEquals(Availability.DRAINING, out.availability());
-        HostList news = list(true, host("s-1", true, Availability.READY), host("s-2", false, Availability.READY));
-        assertEquals(Availability.DRAINING, registry.apply(news, false).lines().get(0).availability());
-        assertEquals(List.of(), registry.setExcluded(Map.of("s-1", 10L), 25).lines(), "the same order again changes nothing");
-        Listing back = registry.setExcluded(Map.of(), 30).lines().get(0);
-        assertEquals(Availability.READY, back.availability());
-        assertEquals(30 * Clock.MS, back.startedAt());
+    void excludedServerDrainsWhateverTheListSays() {
+        Listing excluded = registry.setExcluded(Map.of("s-1", 10L), 20).lines().get(0);
+        assertEquals(Availability.DRAINING, excluded.availability());
+        HostList update = list(true, host("s-1", true, Availability.READY), host("s-2", false, Availability.READY));
+        assertEquals(Availability.DRAINING, registry.apply(update, false).lines().get(0).availability());
+        assertEquals(List.of(), registry.setExcluded(Map.of("s-1", 10L), 25).lines(), "the same exclusion again changes nothing");
+        Listing readmitted = registry.setExcluded(Map.of(), 30).lines().get(0);
+        assertEquals(Availability.READY, readmitted.availability());
+        assertEquals(30 * Clock.MS, readmitted.startedAt());
         assertTrue(registry.contains("s-1") && !registry.contains("s-9"));
     }
 
     @Test
-    void nothingIsSentToAServerLeftOut() {
+    void nothingIsSentToAnExcludedServer() {
         balancer.setExcluded(Map.of("s-2", 10L));
         for (int i = 0; i < 20; i++) {
             ScriptedExchange script = run(READ, Outcome.OK);
@@ -261,9 +261,9 @@
         }
     }
 
-    /** New classes are served by their own rules once told; one that is dropped is refused, even as it comes in. */
+    /** Requests of new classes follow the new settings; a request whose class was dropped while it was received is refused. */
     @Test
-    void otherSettingsHoldForWhatComesLater() {
+    void newSettingsApplyToLaterRequests() {
         Settings old = settings();
         RequestClass read = old.classes().get(READ);
         RequestClass write = old.classes().get(WRITE);
@@ -285,9 +285,9 @@
                 limits, s.positionField(), s.primaryField(), s.queueField(), s.inflightField(), s.utilField());
     }
 
-    /** The log of writes hears before the client does, with the commit that the server told. */
+    /** The write listener must be told before the client is answered. */
     @Test
-    void aWriteIsToldBeforeItsClientSeesTheAnswer() {
+    void listenerIsToldOfWriteBeforeClientIsAnswered() {
         List<String> order = new ArrayList<>();
         balancer.setWriteListener(write -> order.add("told " + write.session()));
         ScriptedExchange script = new ScriptedExchange(Outcome.OK) {
@@ -302,9 +302,9 @@
         assertTrue(balancer.writes().stream().anyMatch(w -> w.session() == 7 && w.positionNs() > 0));
     }
 
-    /** A fault of this program, an Error too, used to end a request's thread with no answer to its client. */
+    /** Guards against an internal error, an Error included, ending a request's thread without an answer to its client. */
     @Test
-    void aFaultHereIsAnsweredAsFailed() {
+    void internalErrorIsAnsweredAsFailed() {
         fault = new StackOverflowError();
         ScriptedExchange script = new ScriptedExchange();
         execute(balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 1_000 * Clock.MS, 0, 0, 2)), script);
@@ -312,9 +312,9 @@
         assertEquals(1, counters.get(Counter.INTERNAL_ERRORS));
     }
 
-    /** Each send asked before it went out, and none broke a rule. */
+    /** Each send asks for permission first, and none breaks a rule. */
     @Test
-    void noSendOfALifeBreaksARule() {
+    void retriedRequestBreaksNoRule() {
         ScriptedExchange script = new ScriptedExchange(Outcome.RESET, Outcome.OK);
         execute(balancer.openRequest(new Request.Spec("history", Consistency.ANY, false, 1_000 * Clock.MS, 0, 0, 2)), script);
         assertEquals(List.of("served"), script.answers);
--- a/pooler/src/test/java/holdmux/core/ClockTest.java
+++ b/pooler/src/test/java/holdmux/core/ClockTest.java
@@ -9,17 +9,17 @@
     private int reads;
 
     /**
-     * The anchor is kept for the life of the process. A thread that lost its core between the two readings made this clock
-     * run behind for good, and a replica just older than a bound looked new enough.
+     * The anchor lasts as long as the process. Guards against a stall between the two clock readings making the clock run
+     * behind permanently, so that a replica just older than a bound looks fresh enough.
      */
     @Test
-    void aStallAtTheStartDoesNotMakeDataLookFresherThanTheyAre() {
-        long lead = wall;
+    void stallWhileAnchoringNeverMakesTheClockRunBehind() {
+        long start = wall;
         Clock clock = new Clock(() -> {
-            long told = wall;
-            wall += ++reads < 3 ? 30 * Clock.MS : 1_000; // stalled twice, then a usual reading
-            return told;
-        }, () -> wall - lead);
+            long reading = wall;
+            wall += ++reads < 3 ? 30 * Clock.MS : 1_000; // two stalled readings, then normal ones
+            return reading;
+        }, () -> wall - start);
         assertTrue(clock.now() >= wall, "behind by " + (wall - clock.now()));
         assertTrue(clock.now() <= wall + Clock.MS, "ahead by " + (clock.now() - wall));
     }
--- a/pooler/src/test/java/holdmux/core/DeadlineInputStreamTest.java
+++ b/pooler/src/test/java/holdmux/core/DeadlineInputStreamTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 public class DeadlineInputStreamTest {
-    /** What Java 17's timed read returns where a signal interrupted it. */
+    /** What Java 17's timed read returns if a signal interrupts it. */
     private static final int INTERRUPTED = -3;
 
-    /** A socket whose reads return these numbers, with a byte for each that is positive. */
+    /** Returns a socket whose reads return these counts, storing one byte each. */
     public static Socket socketReturning(Integer... returns) {
         Deque<Integer> next = new ArrayDeque<>(List.of(returns));
         return new Socket() {
@@ -39,9 +39,9 @@
         };
     }
 
-    /** A read that a signal interrupted used to pass for the end of the input. */
+    /** Guards against a read interrupted by a signal being taken for the end of the stream. */
     @Test
-    void anInterruptedReadIsNoEnd() throws IOException {
+    void interruptedReadIsNotEndOfStream() throws IOException {
         DeadlineInputStream in = new DeadlineInputStream(socketReturning(INTERRUPTED, 1, INTERRUPTED, INTERRUPTED, -1), 1_000);
         assertEquals('x', in.read());
         assertEquals(-1, in.read());
--- a/pooler/src/test/java/holdmux/core/DeadlinesTest.java
+++ b/pooler/src/test/java/holdmux/core/DeadlinesTest.java
@@ -11,12 +11,12 @@
     private final List<String> ran = new ArrayList<>();
 
     @Test
-    void whatIsDueRunsInOrderAndOnce() {
+    void dueTasksRunOnceInOrder() {
         deadlines.at(30, () -> ran.add("c"));
         deadlines.at(10, () -> ran.add("a"));
         deadlines.at(10, () -> ran.add("b"));
-        Deadlines.Deadline dropped = deadlines.at(20, () -> ran.add("dropped"));
-        deadlines.cancel(dropped);
+        Deadlines.Deadline cancelled = deadlines.at(20, () -> ran.add("dropped"));
+        deadlines.cancel(cancelled);
         deadlines.takeDue(29).forEach(Runnable::run);
         assertEquals(List.of("a", "b"), ran);
         deadlines.takeDue(30).forEach(Runnable::run);
@@ -24,9 +24,9 @@
         assertEquals(List.of("a", "b", "c"), ran);
     }
 
-    /** What is due behind one that throws an Error is run all the same. */
+    /** An Error thrown by one task must not keep the following tasks from running. */
     @Test
-    void anErrorEndsOnlyTheDeadlineThatThrewIt() {
+    void errorEndsOnlyItsOwnTask() {
         Deadlines.runOne(() -> {
             throw new StackOverflowError();
         });
--- a/pooler/src/test/java/holdmux/core/IdleConnectionsTest.java
+++ b/pooler/src/test/java/holdmux/core/IdleConnectionsTest.java
@@ -13,7 +13,7 @@
 class IdleConnectionsTest {
     private final List<Long> closed = new ArrayList<>();
 
-    private record Fake(long serverId, InetSocketAddress address, boolean isReusable, List<Long> closed)
+    private record FakeConnection(long serverId, InetSocketAddress address, boolean isReusable, List<Long> closed)
             implements IdleConnections.Connection {
         @Override
         public void close() {
@@ -21,28 +21,28 @@
         }
     }
 
-    private Fake to(long store) {
-        return new Fake(store, null, true, closed);
+    private FakeConnection connectionTo(long serverId) {
+        return new FakeConnection(serverId, null, true, closed);
     }
 
-    /** Guards against idle connections to many servers leaving none for the one that a request must go to. */
+    /** Guards against idle connections to many servers using up the limit when a request needs one to another server. */
     @Test
-    void atTheCapWhatHasBeenIdleLongestMakesRoom() {
+    void longestIdleConnectionIsClosedAtTheLimit() {
         Clock clock = new Clock();
         Counters counters = new Counters();
         ServerSlots slots = new ServerSlots(2, new OtherProcess());
-        IdleConnections<Fake> idle = new IdleConnections<>(new ServerRegistry(List.of(), List.of()), clock,
+        IdleConnections<FakeConnection> idle = new IdleConnections<>(new ServerRegistry(List.of(), List.of()), clock,
                 new Deadlines(clock), counters, slots, () -> 15_000 * Clock.MS);
         assertTrue(idle.reserve());
         assertTrue(idle.reserve());
         assertFalse(idle.reserve(), "both are in use");
-        idle.keep(to(7));
-        idle.keep(to(5));
+        idle.keep(connectionTo(7));
+        idle.keep(connectionTo(5));
         assertTrue(idle.reserve());
         assertEquals(List.of(7L), closed);
         assertTrue(idle.reserve());
         assertFalse(idle.reserve());
         assertEquals(2, slots.held());
-        assertEquals(2, counters.get(Counter.OVER_CAPACITY), "not where room was made");
+        assertEquals(2, counters.get(Counter.OVER_CAPACITY), "not counted when an idle connection was closed");
     }
 }
--- a/pooler/src/test/java/holdmux/core/SendGateTest.java
+++ b/pooler/src/test/java/holdmux/core/SendGateTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class SendGateTest {
-    private static final long MS = Clock.MS, GRACE = 2_000 * MS, STORE = 7;
+    private static final long MS = Clock.MS, GRACE = 2_000 * MS, SERVER_ID = 7;
 
     private final Counters counters = new Counters();
     private final SendGate gate = new SendGate(counters, new ServerRegistry(List.of("north"), List.of("std")));
@@ -25,65 +25,65 @@
             new Request.Spec("save-quote", Consistency.WRITE, false, 1_000 * MS, 0, 5, 2));
 
     private static ListChanged list(ListMode mode, Availability health) {
-        return new ListChanged(mode, 1, List.of(new Listing(STORE, 2, 0, 0, health, true, 0, 1)));
+        return new ListChanged(mode, 1, List.of(new Listing(SERVER_ID, 2, 0, 0, health, true, 0, 1)));
     }
 
     private Attempt attempt() {
-        Attempt attempt = new Attempt(STORE, request.attempts.size(), 1, 1_000 * MS, () -> true);
+        Attempt attempt = new Attempt(SERVER_ID, request.attempts.size(), 1, 1_000 * MS, () -> true);
         request.attempts.add(attempt);
         return attempt;
     }
 
-    private boolean permits(Attempt attempt, Permission byModule, long now) {
-        return gate.permits(request, attempt, byModule, false, now);
+    private boolean permits(Attempt attempt, Permission modulePermission, long now) {
+        return gate.permits(request, attempt, modulePermission, false, now);
     }
 
-    /** Whatever the module says, nothing goes to a server that was told to drain, was removed, or is left out of a whole list. */
+    /** Whatever the decision module says, nothing is sent to a server that drains, was removed or is missing from a whole list. */
     @Test
-    void nothingGoesToAServerThatWasToldToStop() {
+    void nothingIsSentToUnavailableServers() {
         gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
         assertTrue(permits(attempt(), Permission.ALLOWED, 2));
         gate.updateAvailability(list(ListMode.DELTA, Availability.DRAINING), 3);
         assertFalse(permits(attempt(), Permission.ALLOWED, 4));
-        assertFalse(gate.permitsProbe(attempt(), false, 4), "a probe neither");
+        assertFalse(gate.permitsProbe(attempt(), false, 4), "nor a probe");
         assertEquals(1, counters.get(Counter.GATE_DISAGREEMENTS));
         assertEquals(2, counters.get(Counter.WITHHELD_SERVER_DRAINING));
         gate.updateAvailability(list(ListMode.DELTA, Availability.READY), 5);
         assertTrue(permits(attempt(), Permission.ALLOWED, 6));
         gate.updateAvailability(new ListChanged(ListMode.FULL, 2, List.of()), 7);
         assertFalse(permits(attempt(), Permission.ALLOWED, 8));
-        assertTrue(gate.permits(request, attempt(), Permission.ALLOWED, true, 8), "where a removal is advice");
+        assertTrue(gate.permits(request, attempt(), Permission.ALLOWED, true, 8), "removals are advisory");
     }
 
-    /** A new process used to serve from the list of its configuration, in which a server that drains was still up. */
+    /** Guards against a new process sending by the list of its configuration, in which a draining server may still be up. */
     @Test
-    void nothingGoesOutBeforeDiscoveryHasConfirmedTheList() {
+    void nothingIsSentBeforeTheListIsConfirmed() {
         gate.requireListConfirmation(true);
         gate.updateAvailability(list(ListMode.CACHED, Availability.READY), 1);
         assertFalse(permits(attempt(), Permission.ALLOWED, 2));
-        assertFalse(gate.permitsProbe(attempt(), false, 2), "a probe neither");
+        assertFalse(gate.permitsProbe(attempt(), false, 2), "nor a probe");
         gate.requireListConfirmation(false);
         assertTrue(permits(attempt(), Permission.ALLOWED, 3));
         assertEquals(2, counters.get(Counter.WITHHELD_LIST_UNCONFIRMED));
     }
 
     @Test
-    void nothingGoesOutForARequestThatIsOverOrLate() {
+    void nothingIsSentForFinishedOrTimedOutRequests() {
         gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
-        assertFalse(permits(attempt(), Permission.DATA_TOO_OLD, 2), "the module has the first word");
-        assertFalse(permits(attempt(), Permission.ALLOWED, 1 + 1_000 * MS), "its time is over");
+        assertFalse(permits(attempt(), Permission.DATA_TOO_OLD, 2), "the decision module denies it");
+        assertFalse(permits(attempt(), Permission.ALLOWED, 1 + 1_000 * MS), "timed out");
         request.finished = true;
         assertFalse(permits(attempt(), Permission.ALLOWED, 2));
         assertEquals(1, counters.get(Counter.WITHHELD_REQUEST_OVER));
         assertEquals(1, counters.get(Counter.WITHHELD_TIME_OVER));
     }
 
-    /** What goes out past a rule by a fault elsewhere is seen at run time. */
+    /** A send that breaks a rule because of an error elsewhere is detected at run time. */
     @Test
-    void whatBreaksARuleIsCounted() {
+    void violationsAreCounted() {
         gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
         gate.checkWritten(request, attempt(), false, GRACE, 2);
-        assertEquals(1, counters.get(Counter.VIOLATIONS_UNPERMITTED), "nobody asked");
+        assertEquals(1, counters.get(Counter.VIOLATIONS_UNPERMITTED), "sent without permission");
 
         Attempt late = attempt();
         assertTrue(permits(late, Permission.ALLOWED, 3));
--- a/pooler/src/test/java/holdmux/core/ServerRegistryTest.java
+++ b/pooler/src/test/java/holdmux/core/ServerRegistryTest.java
@@ -22,23 +22,23 @@
         return registry.apply(list, false).lines().get(0).availability();
     }
 
-    /** A list that is older than the drain, from an agent that lags or after numbers began anew, says nothing against it. */
+    /** A list older than the drain, from a lagging agent or after version numbers restarted, must not undo it. */
     @Test
-    void anOlderListUndoesNoDrain() {
+    void olderListDoesNotUndoDrain() {
         assertEquals(Availability.READY, applyAndGet(list(41, true, Availability.READY, 0)));
         assertEquals(Availability.DRAINING, applyAndGet(list(43, false, Availability.DRAINING, 0)));
         assertEquals(Availability.DRAINING, applyAndGet(list(42, true, Availability.READY, 0)), "an older list");
-        assertEquals(Availability.DRAINING, applyAndGet(list(42, true, Availability.READY, 0)), "told once more");
-        assertEquals(Availability.READY, applyAndGet(list(44, true, Availability.READY, 0)), "news that came after it");
+        assertEquals(Availability.DRAINING, applyAndGet(list(42, true, Availability.READY, 0)), "an older list, repeated");
+        assertEquals(Availability.READY, applyAndGet(list(44, true, Availability.READY, 0)), "a newer list");
     }
 
-    /** The same of a removal; a server that started after it is a new one. */
+    /** An older list must not undo a removal either, unless the server has started since. */
     @Test
-    void anOlderListBringsNoRemovedServerBack() {
-        long store = registry.apply(list(41, true, Availability.READY, 5), false).lines().get(0).store();
+    void olderListDoesNotRestoreRemovedServer() {
+        long serverId = registry.apply(list(41, true, Availability.READY, 5), false).lines().get(0).store();
         assertEquals(Availability.GONE, applyAndGet(list(43, false, Availability.GONE, 0)));
         assertEquals(Availability.GONE, applyAndGet(list(42, true, Availability.READY, 5)), "an older list");
-        assertNull(registry.address(store));
-        assertEquals(Availability.READY, applyAndGet(list(42, true, Availability.READY, 6)), "it started anew since");
+        assertNull(registry.address(serverId));
+        assertEquals(Availability.READY, applyAndGet(list(42, true, Availability.READY, 6)), "it has started since");
     }
 }
--- a/pooler/src/test/java/holdmux/core/WorkersTest.java
+++ b/pooler/src/test/java/holdmux/core/WorkersTest.java
@@ -9,13 +9,13 @@
 
 @Timeout(20)
 class WorkersTest {
-    /** An Error used to end the thread for good, without a line: the list, the timers or SIGHUP were never heard again. */
+    /** Guards against an Error silently ending a long-lived thread, which would stop discovery, the timers or reloads. */
     @Test
-    void aLastingThreadBeginsAgainWhateverItsWorkThrows() throws Exception {
+    void restartingThreadRestartsWorkThatThrows() throws Exception {
         Counters counters = new Counters();
-        AtomicInteger begun = new AtomicInteger();
+        AtomicInteger starts = new AtomicInteger();
         Thread thread = Workers.restartingThread("test", counters, () -> {
-            switch (begun.incrementAndGet()) {
+            switch (starts.incrementAndGet()) {
                 case 1 -> throw new StackOverflowError();
                 case 2 -> throw new IllegalStateException("test");
                 default -> { }
@@ -23,7 +23,7 @@
         });
         thread.start();
         thread.join();
-        assertEquals(3, begun.get());
+        assertEquals(3, starts.get());
         assertEquals(2, counters.get(Counter.THREAD_RESTARTS));
     }
 }
