--- a/pooler/src/main/java/holdmux/discovery/AgentAddresses.java
+++ b/pooler/src/main/java/holdmux/discovery/AgentAddresses.java
@@ -3,13 +3,13 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where discovery's agent may be at a start.
+ * The addresses at which the discovery agent may be reached at start-up.
  *
  * @param first the address that is called first
- * @param alternative another one that is called in turns with it until one has answered; null for none
+ * @param alternative a second address, tried alternately with the first until one of them has answered; null if there is none
  */
 public record AgentAddresses(InetSocketAddress first, InetSocketAddress alternative) {
-    /** The one agent there is. */
+    /** A single address without an alternative. */
     public static AgentAddresses only(InetSocketAddress agent) {
         return new AgentAddresses(agent, null);
     }
--- a/pooler/src/main/java/holdmux/discovery/CallSchedule.java
+++ b/pooler/src/main/java/holdmux/discovery/CallSchedule.java
@@ -3,41 +3,43 @@
 import java.util.SplittableRandom;
 
 /**
- * When a call to discovery counts as overdue and when the next one is made. An overdue call is listened to further, so that
- * an answer which takes longer is not lost.
+ * The time-outs, long-poll holds and retry backoff of calls to discovery. An overdue call is not closed: its connection is still
+ * read, so that a late answer is not lost.
  *
- * @param holdMs how long a call waits at discovery for news; short, since it bounds what a watch that fell silent can hide
- * @param firstHoldMs the hold of a call that begins a watch
- * @param unheldFrom failures in a row from which a call is not held at all: calls that wait may be what fails
- * @param silenceMs silence beyond the hold that shows a dead call, a slow connect included
- * @param firstTurnMs how long the first call may take, which may wait its turn at a discovery short of room
- * @param againTurnMs how long a call behind a failure may take
- * @param againMs the pause after the first failure, twice as long each time, half of it more or less by chance
- * @param longestAgainMs the longest such pause
+ * @param holdMs how long discovery holds a call open while there are no changes; kept short because a watch that silently died
+ *        hides changes for up to this time
+ * @param firstHoldMs the hold of the call that starts a watch
+ * @param noHoldAfterFailures consecutive failures from which calls ask for no hold, since held calls may be what fails
+ * @param silenceTimeoutMs silence beyond the hold after which a call is overdue; includes a slow connect
+ * @param firstCallTimeoutMs the time-out of the first call, which may be queued by an overloaded agent
+ * @param retryTimeoutMs the time-out of a call that follows a failure
+ * @param initialBackoffMs the base of the exponential backoff, doubled with each failure and randomised by half of it either way
+ * @param maxBackoffMs the upper bound of that base
  */
 record CallSchedule(int holdMs, int firstHoldMs, int noHoldAfterFailures, int silenceTimeoutMs, int firstCallTimeoutMs, int retryTimeoutMs,
         int initialBackoffMs, int maxBackoffMs) {
     /**
-     * Where an agent on this machine is told of changes and answers at once. What it has counts as told at once, and binds
-     * 2 s later, also at the end of a silence: a call of which nothing comes is seen, another one made and answered within
-     * that time, twice over (0.8 s for a watch that falls silent, 0.5 s and a pause of 0.15 to 0.3 s for each call after it).
+     * For lists that are pushed to an agent on this machine, which answers immediately. A change counts as delivered as soon as
+     * the agent has it and must be obeyed 2 s later, even if the agent was silent before. Two calls may therefore go unanswered
+     * and be replaced within 2 s: a silent watch is overdue after 0.8 s and each call after it in 0.5 s, with a backoff of at most
+     * 0.15 s and then 0.3 s between them.
      */
     static final CallSchedule PUSHED = new CallSchedule(400, 400, 1, 400, 800, 500, 50, 200);
 
     /**
-     * Where discovery tells changes only when it is asked. A change counts as told when it was written, at the latest 6 s
-     * after discovery had it and could be reached: two calls may be silent, the third is answered within 5.6 s.
+     * For lists that have to be subscribed to. A change counts as delivered when it was written to the connection, but no later
+     * than 6 s after discovery had it and was reachable. Two calls may go unanswered: the third is answered within 5.6 s.
      */
     static final CallSchedule SUBSCRIBED = new CallSchedule(2_000, 500, 2, 800, 2_800, 1_600, 100, 500);
 
     private static final int MAX_DOUBLINGS = 16;
 
-    /** The schedule for a deployment whose lists have to be asked for, or are pushed to the agents. */
+    /** The schedule for lists that have to be subscribed to, or else are pushed to the agents. */
     static CallSchedule of(boolean mustSubscribe) {
         return mustSubscribe ? SUBSCRIBED : PUSHED;
     }
 
-    /** How long discovery is asked to wait for news; {@code begins}: the call begins a watch. */
+    /** The hold to ask discovery for after this many consecutive failures; {@code startsWatch}: the call starts a watch. */
     int holdMs(boolean startsWatch, int failures) {
         if (failures >= noHoldAfterFailures) {
             return 0;
@@ -45,7 +47,7 @@
         return startsWatch ? firstHoldMs : holdMs;
     }
 
-    /** How long a call may take before another one is made beside it; {@code begins}: the call begins a watch. */
+    /** The time after which another call is made beside this one; {@code startsWatch}: the call starts a watch. */
     int timeoutMs(boolean startsWatch, int failures) {
         if (!startsWatch) {
             return holdMs + silenceTimeoutMs;
@@ -53,7 +55,7 @@
         return failures == 0 ? firstCallTimeoutMs : retryTimeoutMs;
     }
 
-    /** The pause before the call that follows this many failures in a row. */
+    /** The randomised backoff before the call that follows this many consecutive failures. */
     long backoffMs(int failures, SplittableRandom random) {
         long baseMs = Math.min(maxBackoffMs, (long) initialBackoffMs << Math.min(failures, MAX_DOUBLINGS));
         return baseMs / 2 + random.nextLong(baseMs);
--- a/pooler/src/main/java/holdmux/discovery/DiscoveryCall.java
+++ b/pooler/src/main/java/holdmux/discovery/DiscoveryCall.java
@@ -9,25 +9,32 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Calls to discovery's agent over one connection, one after the other, on a thread of their own. Whoever made it decides
- * when it is overdue; until it is closed it goes on listening, so that an answer that takes long is heard all the same.
+ * A connection to the discovery agent that sends queries one after the other, on a thread of its own. Its owner decides when
+ * an answer is overdue; the connection is read until it is closed, so that a late answer is still received.
  */
 final class DiscoveryCall implements Runnable {
-    /** Who hears what becomes of a call. */
+    /** Receives the answers and the failure of a call. */
     interface Listener {
-        /** Takes an answer in; the next query on the same connection, or null to end it. */
+        /** Handles an answer; returns the next query to send on the same connection, or null to close it. */
         Query answered(DiscoveryCall call, HttpResponse response) throws IOException;
 
-        /** The connection ended, or what came could not be used. */
+        /** The connection failed, or its answer could not be used. */
         void failed(DiscoveryCall call, Throwable cause);
     }
 
-    /** What is asked after a pause, the how manyth query of the program it is, and what was known then. */
+    /**
+     * A query for the list or its changes.
+     *
+     * @param parameters the query string of the request, empty for the whole list
+     * @param delayMs the delay before the request is sent
+     * @param number the sequence number of the query in this process
+     * @param atRequest the state of the list when the query was made
+     */
     record Query(String parameters, long delayMs, long number, ListVersions.RequestState atRequest) {}
 
-    /** An answer that takes longer than this is of no use: every change in it has been told by later calls. */
+    /** An answer that takes longer is useless: later calls have delivered every change in it. */
     private static final int READ_TIMEOUT_MS = 30_000;
-    /** A connect that takes longer never comes up; another thread's close need not end it. */
+    /** A connect that takes longer does not succeed; closing the socket from another thread may not interrupt it. */
     private static final int CONNECT_TIMEOUT_MS = 3_000;
 
     private final long number;
@@ -46,21 +53,22 @@
         query = firstQuery;
     }
 
-    /** Its number in the log. */
+    /** The number of this call in log lines. */
     long number() {
         return number;
     }
 
+    /** The address of the agent that is called. */
     InetSocketAddress agent() {
         return agent;
     }
 
-    /** What was asked last on this connection. */
+    /** The last query on this connection. */
     Query query() {
         return query;
     }
 
-    /** Whether an answer has begun that is not whole yet, or never became whole. */
+    /** Whether an answer has begun and is incomplete so far, or was cut off. */
     boolean hasPartialResponse() {
         return partialResponse;
     }
@@ -79,7 +87,7 @@
                 socket.getOutputStream().write(request(next).getBytes(StandardCharsets.US_ASCII));
                 next = listener.answered(this, read(in));
             }
-        } catch (Throwable e) { // an Error too must be told: nobody else would make the next call
+        } catch (Throwable e) { // also an Error: without this report no further call would be made
             listener.failed(this, e);
         }
     }
@@ -98,12 +106,12 @@
                 + agent.getPort() + "\r\nAccept: application/json\r\n\r\n";
     }
 
-    /** Ends the connection, from any thread. */
+    /** Closes the connection; callable from any thread. */
     void close() {
         try {
             socket.close();
         } catch (IOException e) {
-            // closing is all that was wanted
+            // the connection is discarded either way
         }
     }
 }
--- a/pooler/src/main/java/holdmux/discovery/HttpHead.java
+++ b/pooler/src/main/java/holdmux/discovery/HttpHead.java
@@ -7,11 +7,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The first line and the headers of an HTTP/1.1 message, by their names in lower case, read with bounds on all parts. */
+/**
+ * The start line and the headers of an HTTP/1.1 message, with bounded sizes. Header names and values are in lower case.
+ */
 public record HttpHead(String startLine, Map<String, String> headers) {
+    /** The longest start line or header line, in bytes. */
     static final int MAX_LINE = 8_192;
+    /** The most headers, or trailers, of a message. */
     static final int MAX_HEADERS = 100;
 
+    /** Reads up to and including the empty line that ends the headers. */
     public static HttpHead read(InputStream in) throws IOException {
         String startLine = readLine(in);
         Map<String, String> headers = new HashMap<>();
@@ -19,7 +24,7 @@
         for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             if (colon < 1 || ++count > MAX_HEADERS) {
-                throw new IOException("a malformed header, or too many of them");
+                throw new IOException("malformed header, or too many headers");
             }
             headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).strip().toLowerCase(Locale.ROOT));
@@ -27,12 +32,13 @@
         return new HttpHead(startLine, headers);
     }
 
-    /** The length of the body by its header; -1 where there is none. */
+    /** The value of the Content-Length header; -1 if there is none. */
     public long contentLength() throws IOException {
         String length = headers.get("content-length");
         return length == null ? -1 : parseLength(length, 10);
     }
 
+    /** Parses a length without a sign. */
     static long parseLength(String text, int radix) throws IOException {
         try {
             long value = Long.parseLong(text, radix);
@@ -40,19 +46,20 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
-        throw new IOException("a malformed length");
+        throw new IOException("malformed length");
     }
 
+    /** Reads a line that ends in LF or CRLF, and returns it without its end. */
     static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
-                throw new EOFException("the message ends early");
+                throw new EOFException("unexpected end of the message");
             }
             if (line.length() >= MAX_LINE) {
-                throw new IOException("a line over " + MAX_LINE + " bytes");
+                throw new IOException("line longer than " + MAX_LINE + " bytes");
             }
             line.append((char) c);
         }
--- a/pooler/src/main/java/holdmux/discovery/HttpResponse.java
+++ b/pooler/src/main/java/holdmux/discovery/HttpResponse.java
@@ -8,29 +8,33 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** One HTTP/1.1 response, read whole with bounds on all its parts. */
+/** An HTTP/1.1 response, read completely and with bounded sizes; {@code keepAlive}: the connection can be used again. */
 record HttpResponse(int status, String body, boolean keepAlive) {
-    /** 1,024 servers with indentation and the longest names take 1.1 MiB; a list is held twice while it is decoded. */
+    /** A list of 1,024 servers with the longest names, indented, is 1.1 MiB; it is in memory twice while it is decoded. */
     static final int MAX_BODY = 4 << 20;
 
     private static final int BUFFER_SIZE = 16_384;
-    /** How often a body without a length is looked at for being whole; one in pieces that end so by chance waits for its end. */
+    /**
+     * How often a body without a length is checked for being a complete JSON object. If more of its reads happen to end in a
+     * closing brace, it is read until the connection ends.
+     */
     private static final int MAX_JSON_CHECKS = 64;
 
-    /** A body beyond {@link #MAX_BODY}. */
+    /** The body is larger than {@link #MAX_BODY}. */
     static final class TooLongException extends IOException {
         private static final long serialVersionUID = 1L;
 
         TooLongException() {
-            super("a body over " + MAX_BODY + " bytes");
+            super("body larger than " + MAX_BODY + " bytes");
         }
     }
 
+    /** Reads one response. */
     static HttpResponse read(InputStream in) throws IOException {
         HttpHead head = HttpHead.read(in);
         String statusLine = head.startLine();
         if (!statusLine.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
-            throw new IOException("no HTTP status line");
+            throw new IOException("malformed HTTP status line");
         }
         long length = head.contentLength();
         boolean chunked = "chunked".equals(head.headers().get("transfer-encoding"));
@@ -60,7 +64,7 @@
             }
             body.writeBytes(readExactly(in, size));
             if (!HttpHead.readLine(in).isEmpty()) {
-                throw new IOException("a chunk is longer than it says");
+                throw new IOException("chunk longer than its declared size");
             }
         }
     }
@@ -71,14 +75,14 @@
         }
         byte[] body = in.readNBytes((int) length);
         if (body.length < length) {
-            throw new EOFException("the body ends early");
+            throw new EOFException("unexpected end of the body");
         }
         return body;
     }
 
     /**
-     * A body without a length, up to its end: the connection's, or that of the one JSON object it holds, since the close may
-     * not come. A reset is no end.
+     * Reads a body without a length, up to the end of the connection or of the JSON object that it holds, since the connection
+     * may stay open. A reset is an error, not the end of the body.
      */
     private static byte[] readToEnd(InputStream in) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/pooler/src/main/java/holdmux/discovery/ListListener.java
+++ b/pooler/src/main/java/holdmux/discovery/ListListener.java
@@ -2,15 +2,15 @@
 
 import holdmux.config.HostList;
 
-/** Who takes in what discovery tells; called by one thread at a time. */
+/** Receives the server lists of discovery and their trust status; called by one thread at a time. */
 @FunctionalInterface
 public interface ListListener {
-    /** Takes a list in, whole or what changed; what this throws makes the list be asked for again. */
+    /** Applies a whole list or a list of changes; if this throws, the list is requested again. */
     void changed(HostList list);
 
-    /** The list in force, known from the start or told since, is the present one; told first, and after each {@link #distrusted}. */
+    /** The list in force, cached or received since, is current. Called once at first, and again after each {@link #distrusted}. */
     default void confirmed() {}
 
-    /** Discovery has told something that could not be read: servers may drain that are up by the list in force. */
+    /** Discovery sent something unreadable: servers that are up in the list in force may be draining. */
     default void distrusted() {}
 }
--- a/pooler/src/main/java/holdmux/discovery/ListVersions.java
+++ b/pooler/src/main/java/holdmux/discovery/ListVersions.java
@@ -3,69 +3,69 @@
 import holdmux.config.HostList;
 
 /**
- * Which of the lists that calls bring is newer than the one in force, and whether the whole list has to be asked for: calls
- * overlap, and agents may lag, count anew or skip a change. No clock, no I/O.
+ * Decides which of the received lists are newer than the one in force, and whether the whole list has to be requested. Calls
+ * overlap, and agents may lag, restart their version numbering or skip a change. Uses neither clock nor I/O.
  */
 final class ListVersions {
-    /** What becomes of a list. */
+    /** How a received list is to be handled. */
     enum Disposition {
-        /** It is the newest: it is taken in. */
+        /** The list is the newest and is to be applied. */
         APPLY,
-        /** It confirms the list in force. */
+        /** The list confirms the one in force. */
         UNCHANGED,
-        /** It was asked for before newer lists came, or under an earlier numbering: it tells nothing. */
+        /** The list was requested before a newer one was applied, or under an earlier numbering, and is ignored. */
         SUPERSEDED,
-        /** It is older than the list in force, although it was asked for since that came: it is refused. */
+        /** The list is older than the one in force although it was requested after that was applied; it is refused. */
         OLDER,
-        /** It names no change, but its version is below the one asked from: the agent lags or counts anew. */
+        /** The list has no entries and a version below the one requested from: the agent lags or restarted its numbering. */
         BEHIND,
-        /** It names no change, but its version is above the one asked from: a change may be missing. */
+        /** The list has no entries but a version above the one requested from: a change may be missing. */
         EMPTY_ADVANCE
     }
 
     /**
-     * What was known when a call was made.
+     * The state at the time of a request, by which its answer is classified.
      *
-     * @param version the version in force, which changes are asked from
-     * @param numbering how often discovery had begun to count anew
-     * @param wholeWishes how often the whole list had been wished for
+     * @param version the version in force, from which changes are requested
+     * @param epoch how often discovery had restarted its version numbering
+     * @param wholeListRequests how often the whole list had been found to be needed
      */
     record RequestState(long version, int epoch, int wholeListRequests) {}
 
     private long version;
     private int epoch;
-    /** Wishes for the whole list, and how many of them a whole list has met that was asked for since. */
+    /** How often the whole list was found to be needed, and how many of these times a list requested afterwards has covered. */
     private int wholeListRequests, wholeListRequestsMet;
-    /** Whether the last list was an older one: a second such one, whole, shows that counting began anew. */
+    /** Whether the last list was an older one; a whole list that is older as well shows that the numbering was restarted. */
     private boolean sawOlder;
 
-    /** {@code known} is the list as it was last had, empty for none. */
+    /** {@code cachedList} is the last known list, empty if there is none. */
     ListVersions(HostList cachedList) {
         version = cachedList.seq();
         wholeListRequests = cachedList.hosts().isEmpty() ? 1 : 0;
     }
 
-    /** The version in force; a call asks for what changed since. */
+    /** The version in force; calls request the changes since then. */
     long version() {
         return version;
     }
 
-    /** What is known now, for a call that is made now. */
+    /** The state to record with a call that is made now. */
     RequestState requestState() {
         return new RequestState(version, epoch, wholeListRequests);
     }
 
-    /** Whether the next call asks for the whole list. */
+    /** Whether the next call has to request the whole list. */
     boolean needsWholeList() {
         return wholeListRequestsMet < wholeListRequests;
     }
 
-    /** The whole list is to be asked for: what discovery told could not be used, or may lack something. */
+    /** Has the next call request the whole list, because an answer could not be used or may lack a change. */
     void requestWholeList() {
         wholeListRequests++;
     }
 
-    /** Judges a list by what was known when it was asked for. Changes nothing. */
+    /** Classifies a list by the state at the time of its request. Changes nothing. */
     Disposition classify(HostList list, RequestState atRequest) {
         if (atRequest.epoch() != epoch) {
             return Disposition.SUPERSEDED;
@@ -97,7 +97,7 @@
         return list.seq() > atRequest.version() ? Disposition.EMPTY_ADVANCE : Disposition.UNCHANGED;
     }
 
-    /** The list has been taken in by everyone who needs it. */
+    /** Records that a list has been applied. */
     void applied(HostList list, RequestState atRequest) {
         epoch += list.seq() < version ? 1 : 0;
         version = list.seq();
@@ -107,18 +107,18 @@
         }
     }
 
-    /** A list confirmed the one in force. */
+    /** Records that a list confirmed the one in force. */
     void confirmed() {
         sawOlder = false;
     }
 
-    /** A list without a change moved the version on. */
+    /** Records a list that has a newer version but no entries. */
     void advanced(HostList list) {
         version = Math.max(version, list.seq());
         requestWholeList();
     }
 
-    /** A list was older than the one in force, or behind what it was asked from. */
+    /** Records a list that is older than the one in force or than the version it was requested from. */
     void sawOlder() {
         sawOlder = true;
         requestWholeList();
--- a/pooler/src/main/java/holdmux/discovery/Watch.java
+++ b/pooler/src/main/java/holdmux/discovery/Watch.java
@@ -16,57 +16,64 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Follows discovery's list for ever: the whole list or, where discovery tells only when asked, what changed since the list
- * that this program was given at its start, then further changes. One call is the current one, which is answered as a rule. Where it is
- * overdue another one is made beside it, and both are listened to: a slow discovery is heard as well as one that has
- * come back after it lost a call. Many poolers share discovery: failed calls are made again ever later, at random times.
+ * Follows the server list of discovery for the life of the process. It first requests the whole list or, if the list has to be
+ * subscribed to, the changes since the cached one, and then further changes. One call at a time is the current one, from which the
+ * next answer is expected. If it is overdue, another one is made beside it and both are read, so that a slow agent is heard as well
+ * as one that lost a call and has come back. Because many poolers share discovery, failed calls are retried with randomised
+ * exponential backoff.
  */
 public final class Watch implements Runnable, DiscoveryCall.Listener {
-    /** Calls that are listened to at once. */
+    /** The most connections that are read at the same time. */
     private static final int MAX_CALLS = 4;
-    /** Failures between log lines: one line in some seconds of silence. */
+    /** Failures per log line: a silent discovery is logged every few seconds. */
     private static final int LOG_EVERY = 10;
-    /** A silence of discovery that is longer than any single lost call explains. */
+    /** A silence longer than a single lost call can explain. */
     private static final long LONG_SILENCE_MS = 5_000;
-    /** An agent that answers watches at once without news is not asked more often than this; a watch goes on within 200 ms. */
+    /**
+     * The least time between two calls to an agent that answers watches immediately although nothing has changed; a watch has to
+     * be continued within 200 ms.
+     */
     private static final long MIN_CALL_INTERVAL_MS = 100;
     private final Counters counters;
     private final BooleanSupplier mustSubscribe;
     private final ListListener listener;
     private final SplittableRandom random;
-    // all that follows under this object's monitor
-    /** Where the agent is now, and whether it has not answered since it was named. */
+    // all further fields are guarded by this object's monitor
+    /** The address of the agent, and whether it was changed and has not answered there yet. */
     private InetSocketAddress agent;
     private boolean awaitingNewAgent;
-    /** Another address that the agent may have, called in turns until one has answered; null for none. */
+    /** A second address of the agent, tried alternately until one of them has answered; null if there is none. */
     private InetSocketAddress alternative;
     private final ListVersions versions;
     private final WholeListSchedule wholeListSchedule;
-    /** The calls that are listened to, the oldest first, and the one that is expected to answer; null for none. */
+    /** The open calls, the oldest first, and the one that is expected to answer; null if there is none. */
     private final List<DiscoveryCall> calls = new ArrayList<>();
     private DiscoveryCall current;
-    /** On {@link System#nanoTime}: when the current call is overdue, or the next one is made where there is none. */
+    /** The {@link System#nanoTime} at which the current call is overdue or, if there is none, the next one is made. */
     private long dueAt;
-    /** When the current call was made, or the last one that was. */
+    /** When the last query of the current or latest call was due to be sent. */
     private long callStartedAt;
     /** When a call was last answered, and the longest time between two answers so far. */
     private long answeredAt;
     private long longestUnconfirmedMs;
     private final ListTrust trust = new ListTrust();
     private long lastQueryNumber;
-    /** Whether the next call begins a watch, as the first one and all behind a failure do. */
+    /** Whether the next call starts a watch, as the first call and each one after a failure do. */
     private boolean startsWatch = true;
     private int failures;
     private long lastCallNumber;
 
     /**
-     * A watch that is not running yet.
+     * Creates a watch; {@link #run} starts it.
      *
-     * @param known the list as it was last had, empty for none
-     * @param mustAsk whether discovery tells changes only when it is asked, rather than pushing them to its agents
-     * @param lists takes in each further list, in order
+     * @param agents the addresses of the agent
+     * @param cachedList the last known list, empty if there is none
+     * @param mustSubscribe whether changes have to be subscribed to, rather than being pushed to the agents
+     * @param seed the seed of the random backoff and of the interval between whole lists
+     * @param listener receives each further list, in order
      */
-    public Watch(AgentAddresses agents, HostList cachedList, BooleanSupplier mustSubscribe, long seed, Counters counters, ListListener listener) {
+    public Watch(AgentAddresses agents, HostList cachedList, BooleanSupplier mustSubscribe, long seed, Counters counters,
+            ListListener listener) {
         agent = agents.first();
         alternative = agents.alternative();
         this.counters = counters;
@@ -74,7 +81,7 @@
         this.listener = listener;
         versions = new ListVersions(cachedList);
         if (!mustSubscribe.getAsBoolean()) {
-            versions.requestWholeList(); // the agent is on this machine, and may have counted anew since the known list
+            versions.requestWholeList(); // the local agent may have restarted its numbering since the list was cached
         }
         random = new SplittableRandom(seed);
         wholeListSchedule = new WholeListSchedule(new SplittableRandom(~seed).nextDouble(), nowMs());
@@ -93,12 +100,12 @@
             try {
                 runNext();
             } catch (InterruptedException e) {
-                throw new IllegalStateException("nothing interrupts this thread", e);
+                throw new IllegalStateException("unexpected interrupt of the watch thread", e);
             }
         }
     }
 
-    /** Waits for what is due, and does it. */
+    /** Waits until the next step is due, and performs it. */
     private synchronized void runNext() throws InterruptedException {
         long now = System.nanoTime();
         long remaining = trust.isAtRisk() ? Math.min(dueAt - now, trust.remainingNs(now)) : dueAt - now;
@@ -114,8 +121,8 @@
     }
 
     /**
-     * Follows the list at another address from now on. The old agent's calls are listened to until the new one has
-     * answered: what it has still to tell is newer than what was told.
+     * Follows the list at another address from now on. Calls to the old agent are read until the new one has answered, since
+     * they may still bring changes.
      */
     public synchronized void moveTo(InetSocketAddress newAgent) {
         if (!newAgent.equals(agent)) {
@@ -128,7 +135,7 @@
         }
     }
 
-    /** Where the list is asked for now. */
+    /** The address from which the list is currently requested. */
     public synchronized InetSocketAddress agent() {
         return agent;
     }
@@ -157,7 +164,7 @@
         return CallSchedule.of(mustSubscribe.getAsBoolean());
     }
 
-    /** There is no current call any more; the next one, which begins a watch, is made after this pause. */
+    /** Drops the current call; the next one, which starts a watch, is made after this delay. */
     private void scheduleNext(long delayMs) {
         current = null;
         startsWatch = true;
@@ -165,10 +172,10 @@
         notifyAll();
     }
 
-    /** Makes a call on a connection of its own. */
+    /** Makes a call on a new connection. */
     private void startCall() {
         while (calls.size() >= MAX_CALLS) {
-            calls.remove(1).close(); // not the oldest: for a discovery slower than all the others wait it is the one hope
+            calls.remove(1).close(); // keeps the oldest: if discovery is slower than every time-out, only that one is answered
         }
         DiscoveryCall call = new DiscoveryCall(++lastCallNumber, agent, nextQuery(0), this);
         try {
@@ -176,7 +183,7 @@
             calls.add(call);
             counters.count(Counter.WATCH_CALLS);
             Workers.newThread("discovery call", call).start();
-        } catch (OutOfMemoryError e) { // no thread to be had now
+        } catch (OutOfMemoryError e) { // no thread could be created
             calls.remove(call);
             currentCallFailed("discovery cannot be called: ", e, call);
         }
@@ -217,7 +224,7 @@
         notifyAll();
     }
 
-    /** The current call has not been answered in time: it is listened to further, and another one is made. */
+    /** The current call was not answered in time; it stays open, and another one is made. */
     private void handleOverdue() {
         counters.count(Counter.WATCH_OVERDUE);
         if (current.hasPartialResponse()) {
@@ -229,13 +236,13 @@
     @Override
     public synchronized Query answered(DiscoveryCall call, HttpResponse response) throws IOException {
         if (!calls.contains(call)) {
-            return null; // closed meanwhile
+            return null; // closed by this watch meanwhile
         }
         if (response.status() != 200) {
             if (response.status() < 500) {
-                versions.requestWholeList(); // our version may be one that discovery no longer knows
+                versions.requestWholeList(); // discovery may no longer know the version in force
             }
-            throw new IOException("status " + response.status());
+            throw new IOException("HTTP status " + response.status());
         }
         HostList list = HostList.decode(response.body());
         apply(list, call);
@@ -244,7 +251,7 @@
         return continueOnConnection(call, response.keepAlive(), list);
     }
 
-    /** Notes that a call was answered with a list that could be used. */
+    /** Records that a call was answered with a usable list. */
     private void recordAnswer(DiscoveryCall call, boolean whole) {
         long silentMs = confirmedMsAgo();
         longestUnconfirmedMs = Math.max(longestUnconfirmedMs, silentMs);
@@ -252,7 +259,7 @@
         if (silentMs > LONG_SILENCE_MS) {
             counters.count(Counter.LONG_SILENCES);
             if (!whole) {
-                wholeListSchedule.requestSoon(nowMs()); // whoever answers now may be another agent than before
+                wholeListSchedule.requestSoon(nowMs()); // the agent may have been replaced during the silence
             }
         }
         if (failures > 0) {
@@ -268,7 +275,7 @@
         }
     }
 
-    /** Whether the whole list is to be asked for since the one in force may lack something. */
+    /** Whether the whole list has to be requested because the one in force may lack a change. */
     private boolean isWholeListDue() {
         return versions.needsWholeList() || wholeListSchedule.isDue(nowMs());
     }
@@ -278,7 +285,7 @@
         switch (versions.classify(list, atRequest)) {
             case APPLY -> {
                 listener.changed(list);
-                versions.applied(list, atRequest); // not before: what could not be taken in is asked for again
+                versions.applied(list, atRequest); // only now: a list that could not be applied is requested again
                 Log.info("discovery call " + call.number() + ": " + list.describe());
                 checkEntries(list);
             }
@@ -298,13 +305,13 @@
             }
             case OLDER -> {
                 versions.sawOlder();
-                throw new ConfigException("list " + list.seq() + " is older than " + versions.version()
-                        + ", which is in force");
+                throw new ConfigException("version " + list.seq() + " is older than version " + versions.version()
+                        + " in force");
             }
         }
     }
 
-    /** Has the whole list asked for where entries could not be read, and tells when it was had. */
+    /** Logs and counts entries that cannot be read, and schedules the next request for the whole list. */
     private void checkEntries(HostList list) {
         boolean faulty = !list.unfit().isEmpty();
         if (faulty) {
@@ -318,7 +325,7 @@
         }
     }
 
-    /** Calls made before one that has been answered have nothing to add. */
+    /** Closes the calls made before one that was answered, since they have nothing to add. */
     private void closeOlderThan(DiscoveryCall answered) {
         while (calls.get(0) != answered) {
             DiscoveryCall call = calls.remove(0);
@@ -327,7 +334,7 @@
         }
     }
 
-    /** The next query on the connection of a call that was answered; null where it ends. */
+    /** The next query on the connection of an answered call, or null to close it. */
     private Query continueOnConnection(DiscoveryCall call, boolean keepAlive, HostList list) {
         boolean sameAgent = call.agent().equals(agent);
         awaitingNewAgent &= !sameAgent;
@@ -338,7 +345,7 @@
             calls.remove(call);
             if (needed) {
                 scheduleNext(delayMs);
-                startsWatch = list.whole(); // a whole list is no watch yet
+                startsWatch = list.whole(); // the request for a whole list was not held, so the watch has still to start
             }
             return null;
         }
@@ -352,14 +359,14 @@
     @Override
     public synchronized void failed(DiscoveryCall call, Throwable cause) {
         if (!calls.remove(call)) {
-            return; // closed here
+            return; // closed by this watch
         }
         boolean unusable = cause instanceof ConfigException || cause instanceof HttpResponse.TooLongException;
         if (unusable) {
             counters.count(Counter.LISTS_REFUSED);
             versions.requestWholeList();
         }
-        boolean applyFailed = !(cause instanceof IOException); // by a fault of ours, or of what it told
+        boolean applyFailed = !(cause instanceof IOException); // an internal error, or one provoked by the content of the list
         if (unusable || applyFailed || call.hasPartialResponse()) {
             markUnreadable();
         }
--- a/pooler/src/test/java/holdmux/discovery/HttpResponseTest.java
+++ b/pooler/src/test/java/holdmux/discovery/HttpResponseTest.java
@@ -27,34 +27,34 @@
     }
 
     @Test
-    void readsBothKindsOfBodies() throws IOException {
+    void readsAllFormsOfBodies() throws IOException {
         assertEquals(new HttpResponse(200, "body", true), read(PLAIN + "next"));
         assertEquals(new HttpResponse(200, "body", true), read(CHUNKED + "next"));
         assertEquals(new HttpResponse(404, "", false), read("HTTP/1.0 404 No\r\nContent-Length: 0\r\n\r\n"));
         assertEquals(new HttpResponse(200, "to the end", false), read("HTTP/1.1 200 OK\r\n\r\nto the end"));
     }
 
-    /** The close that ends a body without a length may be lost: a whole JSON object is an end too, half of one is not. */
+    /** The connection close that ends a body without a length may be lost, so a complete JSON object ends it too. */
     @Test
-    void aBodyWithoutALengthEndsWithItsObject() throws IOException {
+    void bodyWithoutLengthEndsWithItsJsonObject() throws IOException {
         String head = "HTTP/1.1 200 OK\r\n\r\n";
         String list = "{\"seq\":1,\"whole\":true,\"hosts\":[{}]}";
-        assertEquals(list + "\n", HttpResponse.read(silentBehind(head + list + "\n")).body());
-        assertThrows(IOException.class, () -> HttpResponse.read(silentBehind(head + list.substring(0, list.length() - 2))));
+        assertEquals(list + "\n", HttpResponse.read(inputThatTimesOutAfter(head + list + "\n")).body());
+        assertThrows(IOException.class, () -> HttpResponse.read(inputThatTimesOutAfter(head + list.substring(0, list.length() - 2))));
     }
 
-    /** What a socket gives whose peer says nothing more, and does not close. */
-    private static InputStream silentBehind(String text) {
+    /** The input of a socket whose peer sends this text and then neither sends more nor closes. */
+    private static InputStream inputThatTimesOutAfter(String text) {
         return new SequenceInputStream(new ByteArrayInputStream(text.getBytes(StandardCharsets.US_ASCII)), new InputStream() {
             @Override
             public int read() throws IOException {
-                throw new SocketTimeoutException("silent");
+                throw new SocketTimeoutException("read timed out");
             }
         });
     }
 
     @Test
-    void boundsWhatItReads() {
+    void rejectsOversizedAndMalformedMessages() {
         assertThrows(IOException.class, () -> read("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"));
         assertThrows(IOException.class, () -> read("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"));
         assertThrows(IOException.class, () -> read("HTTP/1.1 200 OK\r\n" + "a: b\r\n".repeat(101) + "\r\n"));
@@ -63,22 +63,22 @@
     }
 
     @Test
-    void aListOfAThousandServersIsReadWhole() throws IOException {
-        String list = ConfigTest.longList().toString(8);
+    void readsAListOfAThousandServers() throws IOException {
+        String list = ConfigTest.largeList().toString(8);
         String body = read("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list).body();
         assertEquals(1_024, HostList.decode(body).hosts().size());
     }
 
     @Property(tries = 200, seed = "31")
-    void noCutPasses(@ForAll boolean chunked, @ForAll @IntRange(max = 100) int at) {
+    void rejectsTruncatedResponses(@ForAll boolean chunked, @ForAll @IntRange(max = 100) int length) {
         String text = chunked ? CHUNKED : PLAIN;
-        assertThrows(IOException.class, () -> read(text.substring(0, Math.min(at, text.length() - 1))));
+        assertThrows(IOException.class, () -> read(text.substring(0, Math.min(length, text.length() - 1))));
     }
 
     @Property(tries = 500, seed = "32")
-    void garbageIsRefusedInOrder(@ForAll byte[] garbage, @ForAll @IntRange(max = 60) int at) {
+    void rejectsGarbageWithAnIOException(@ForAll byte[] garbage, @ForAll @IntRange(max = 60) int offset) {
         byte[] bytes = CHUNKED.getBytes(StandardCharsets.ISO_8859_1);
-        System.arraycopy(garbage, 0, bytes, at, Math.min(garbage.length, bytes.length - at));
+        System.arraycopy(garbage, 0, bytes, offset, Math.min(garbage.length, bytes.length - offset));
         for (byte[] input : new byte[][] {garbage, bytes}) {
             try {
                 assertTrue(HttpResponse.read(new ByteArrayInputStream(input)).status() >= 100);
--- a/pooler/src/test/java/holdmux/discovery/ListVersionsTest.java
+++ b/pooler/src/test/java/holdmux/discovery/ListVersionsTest.java
@@ -7,8 +7,8 @@
 import holdmux.config.HostList;
 import holdmux.config.HostList.Host;
 import holdmux.decision.SplitterApi.Availability;
-import holdmux.discovery.ListVersions.RequestState;
 import holdmux.discovery.ListVersions.Disposition;
+import holdmux.discovery.ListVersions.RequestState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -33,9 +33,9 @@
     private final Host up = host("s", Availability.READY);
     private final ListVersions versions = new ListVersions(list(41, true, up));
 
-    /** The wish for a whole list used to be cleared by whatever was taken next: a move of discovery then went on from the old version. */
+    /** Any list applied used to clear the need for a whole one: after discovery moved, changes were requested from the old version. */
     @Test
-    void onlyAWholeListAskedForSinceMeetsTheWishForOne() {
+    void onlyAWholeListRequestedSinceSatisfiesTheNeedForOne() {
         RequestState before = versions.requestState();
         versions.requestWholeList();
         HostList change = list(42, false, up);
@@ -43,14 +43,14 @@
         versions.applied(change, before);
         HostList early = list(42, true, up);
         versions.applied(early, before);
-        assertTrue(versions.needsWholeList(), "asked for before the wish");
+        assertTrue(versions.needsWholeList(), "requested before the whole list was needed");
         versions.applied(early, versions.requestState());
         assertFalse(versions.needsWholeList());
     }
 
-    /** An agent that counts anew used to be taken for one with nothing new, as its answers to watches name no change. */
+    /** An agent that had restarted its numbering used to be taken for one without changes, since its answers have no entries. */
     @Test
-    void anAgentThatCountsAnewIsAskedForItsWholeList() {
+    void restartedNumberingRequestsTheWholeList() {
         HostList nothing = list(1, false);
         assertEquals(Disposition.BEHIND, versions.classify(nothing, versions.requestState()));
         versions.sawOlder();
@@ -60,12 +60,12 @@
         assertEquals(Disposition.APPLY, versions.classify(whole, early));
         versions.applied(whole, early);
         assertEquals(2, versions.version());
-        assertEquals(Disposition.SUPERSEDED, versions.classify(list(43, false, up), early), "asked for under the old numbering");
+        assertEquals(Disposition.SUPERSEDED, versions.classify(list(43, false, up), early), "requested under the old numbering");
     }
 
-    /** A version that moved on without a change used to be taken for the present state. */
+    /** A version that advanced without an entry used to be taken for the current state. */
     @Test
-    void anAdvanceWithoutAChangeIsInDoubt() {
+    void advanceWithoutEntriesRequestsTheWholeList() {
         HostList empty = list(42, false);
         assertEquals(Disposition.EMPTY_ADVANCE, versions.classify(empty, versions.requestState()));
         versions.advanced(empty);
@@ -73,53 +73,53 @@
         assertEquals(Disposition.UNCHANGED, versions.classify(empty, versions.requestState()));
     }
 
-    /** The only entry of a change could not be read: the version went on over it, and nothing asked for it again. */
+    /** If the only entry of a change could not be read, the version used to advance past it, and it was never requested again. */
     @Test
-    void anEntryThatCannotBeReadIsAChange() {
+    void unreadableEntryCountsAsAChange() {
         HostList unfit = new HostList(42, false, List.of(), List.of(new HostList.Unfit("s", "draining", "no dial")));
         assertEquals(Disposition.APPLY, versions.classify(unfit, versions.requestState()));
     }
 
-    /** Answers that overlap, get lost, advance without a change or follow a renumbering: the agent's state is in force in the end. */
+    /** After answers that overlap, are lost, advance without entries or follow a restarted numbering, the agent's state is applied. */
     @Property(tries = 300, seed = "20261202")
-    void theAgentsStateIsInForceInTheEnd(@ForAll long seed) {
-        World world = new World(new SplittableRandom(seed));
+    void convergesToTheStateOfTheAgent(@ForAll long seed) {
+        Simulation simulation = new Simulation(new SplittableRandom(seed));
         for (int i = 0; i < STEPS; i++) {
-            world.step();
+            simulation.step();
         }
-        world.wish();
+        simulation.requestWholeList();
         for (int i = 0; i < 3; i++) {
-            world.answer(world.ask(), false);
+            simulation.answer(simulation.newCall(), false);
         }
-        assertEquals(world.agent, world.taken);
+        assertEquals(simulation.agent, simulation.applied);
     }
 
-    /** An agent with versions, and a caller with calls under way; a version says since when each server is as it is. */
-    private static final class World {
-        private record Call(RequestState asked, boolean whole) {}
+    /** An agent, which keeps the version of the last change of each server, and a caller with open calls. */
+    private static final class Simulation {
+        private record Call(RequestState atRequest, boolean whole) {}
 
         final Map<String, Availability> agent = new TreeMap<>();
-        final Map<String, Availability> taken = new TreeMap<>();
+        final Map<String, Availability> applied = new TreeMap<>();
         private final SplittableRandom random;
         private final Map<String, Long> changedAt = new HashMap<>();
         private final List<Call> calls = new ArrayList<>();
         private final ListVersions versions;
         private long seq = 41;
 
-        World(SplittableRandom random) {
+        Simulation(SplittableRandom random) {
             this.random = random;
             for (int i = 0; i < SERVERS; i++) {
                 agent.put("s" + i, Availability.READY);
                 changedAt.put("s" + i, 41L);
             }
-            taken.putAll(agent);
-            versions = new ListVersions(view(new Call(new RequestState(0, 0, 0), true), false));
+            applied.putAll(agent);
+            versions = new ListVersions(listFor(new Call(new RequestState(0, 0, 0), true), false));
         }
 
         void step() {
             switch (random.nextInt(6)) {
                 case 0, 1 -> change();
-                case 2 -> calls.add(ask());
+                case 2 -> calls.add(newCall());
                 case 3 -> answerAny(false);
                 case 4 -> answerAny(true);
                 default -> {
@@ -137,11 +137,11 @@
             changedAt.put(name, ++seq);
         }
 
-        void wish() {
+        void requestWholeList() {
             versions.requestWholeList();
         }
 
-        Call ask() {
+        Call newCall() {
             return new Call(versions.requestState(), versions.needsWholeList());
         }
 
@@ -152,11 +152,11 @@
         }
 
         void answer(Call call, boolean withoutChange) {
-            HostList list = view(call, withoutChange && !call.whole());
-            switch (versions.classify(list, call.asked())) {
+            HostList list = listFor(call, withoutChange && !call.whole());
+            switch (versions.classify(list, call.atRequest())) {
                 case APPLY -> {
-                    list.hosts().forEach(host -> taken.put(host.name(), host.availability()));
-                    versions.applied(list, call.asked());
+                    list.hosts().forEach(host -> applied.put(host.name(), host.availability()));
+                    versions.applied(list, call.atRequest());
                 }
                 case UNCHANGED -> versions.confirmed();
                 case EMPTY_ADVANCE -> versions.advanced(list);
@@ -166,10 +166,10 @@
             }
         }
 
-        private HostList view(Call call, boolean withoutChange) {
+        private HostList listFor(Call call, boolean withoutChange) {
             List<Host> hosts = new ArrayList<>();
             agent.forEach((name, availability) -> {
-                if (!withoutChange && (call.whole() || changedAt.get(name) > call.asked().version())) {
+                if (!withoutChange && (call.whole() || changedAt.get(name) > call.atRequest().version())) {
                     hosts.add(host(name, availability));
                 }
             });
--- a/pooler/src/test/java/holdmux/discovery/WatchTest.java
+++ b/pooler/src/test/java/holdmux/discovery/WatchTest.java
@@ -28,30 +28,31 @@
     private static final String HOST = "{\"host\":\"s-1\",\"dial\":\"127.0.0.1:5501\",\"site\":\"a\",\"class\":\"m\","
             + "\"block\":0,\"health\":\"up\",\"share\":1,\"born_ms\":0}";
 
-    /** The operators' term for news that earlier calls failed to bring. */
-    private static final long TOLD_MS = 6_000;
-    /** What was told binds after this; a process may be held up for so long between its clock and its write. */
-    private static final long GRACE_MS = 2_000, HELD_UP_MS = 150;
+    /** A change counts as delivered this long after discovery had it, even if earlier calls failed to bring it. */
+    private static final long DELIVERY_MS = 6_000;
+    /** How long after its delivery a change must be obeyed, and how long a process may be delayed between its decision and its write. */
+    private static final long GRACE_MS = 2_000, SEND_DELAY_MS = 150;
     private static final long CONNECT_MS = 300;
-    private static final CallSchedule ASKED = CallSchedule.SUBSCRIBED, PUSHED = CallSchedule.PUSHED;
+    private static final CallSchedule SUBSCRIBED = CallSchedule.SUBSCRIBED, PUSHED = CallSchedule.PUSHED;
 
     private final Counters counters = new Counters();
-    private final LinkedBlockingQueue<Long> taken = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Long> appliedVersions = new LinkedBlockingQueue<>();
     private final Semaphore confirmed = new Semaphore(0), distrusted = new Semaphore(0);
 
-    /** Starts a watch at this agent that knows version 41. */
-    private void follow(ServerSocket agent) {
+    /** Starts a watch in subscribe mode whose cached list has version 41. */
+    private void startSubscribed(ServerSocket agent) {
         HostList known = HostList.decode("{\"seq\":41,\"whole\":true,\"hosts\":[" + HOST + "]}");
         Workers.newThread("watch", new Watch(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()), known,
-                () -> true, 7, counters, l -> taken.add(l.seq()))).start();
+                () -> true, 7, counters, l -> appliedVersions.add(l.seq()))).start();
     }
 
-    private static String call(ServerSocket agent, String answer) throws Exception {
+    /** Accepts a call, sends the answer, and returns the query string of the request. */
+    private static String answerCall(ServerSocket agent, String answer) throws Exception {
         try (Socket socket = agent.accept()) {
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-            String call = in.readLine();
+            String requestLine = in.readLine();
             socket.getOutputStream().write(("HTTP/1.1 " + answer).getBytes(StandardCharsets.UTF_8));
-            return call.replaceAll("GET /v1/endpoints(.*) HTTP/1.1", "$1");
+            return requestLine.replaceAll("GET /v1/endpoints(.*) HTTP/1.1", "$1");
         }
     }
 
@@ -64,281 +65,283 @@
         return "200 OK\r\nConnection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A start asks for what it missed only, and a discovery short of room is not asked for all of it for that. */
+    /** A start requests only the changes since the cached version, and an answer 503 does not make it request the whole list. */
     @Test
-    void aWatchGoesOnFromWhatIsKnown() throws Exception {
+    void resumesFromTheCachedVersion() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
+            startSubscribed(agent);
             String busy = "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-            assertEquals("?from=41&hold_ms=500", call(agent, busy));
-            assertEquals("?from=41&hold_ms=500", call(agent, list(43)));
-            assertEquals(43, taken.take());
-            assertEquals("?from=43&hold_ms=2000", call(agent, "404 Not Found\r\nContent-Length: 0\r\n\r\n"));
-            assertEquals("", call(agent, list(44)), "a version that is no longer known");
+            assertEquals("?from=41&hold_ms=500", answerCall(agent, busy));
+            assertEquals("?from=41&hold_ms=500", answerCall(agent, list(43)));
+            assertEquals(43, appliedVersions.take());
+            assertEquals("?from=43&hold_ms=2000", answerCall(agent, "404 Not Found\r\nContent-Length: 0\r\n\r\n"));
+            assertEquals("", answerCall(agent, list(44)), "after a version that the agent no longer knows");
             assertEquals(2, counters.get(Counter.WATCH_FAILURES));
         }
     }
 
     /**
-     * One clock for silence: what a silent watch misses counts as told 6 s after it fell silent, or 2 s after its hold.
-     * Whichever call it was, it is given up and made anew in half that time, so that a second silent one is in time too.
+     * The changes that a silent watch misses count as delivered 6 s after it fell silent, or 2 s after its hold. Any silent call is
+     * replaced within half of the 6 s, so that a second silent one can be replaced in time too.
      */
     @Test
-    void aSilentCallIsMadeAnewBeforeWhatItMissesCounts() throws Exception {
-        assertTrue(ASKED.timeoutMs(true, 0) <= 3_000 && ASKED.timeoutMs(false, 0) <= 3_000);
+    void replacesASilentCallInTime() throws Exception {
+        assertTrue(SUBSCRIBED.timeoutMs(true, 0) <= 3_000 && SUBSCRIBED.timeoutMs(false, 0) <= 3_000);
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
+            startSubscribed(agent);
             try (Socket silent = agent.accept()) {
-                assertEquals("?from=41&hold_ms=500", call(agent, list(43)));
-                assertEquals(43, taken.take());
+                assertEquals("?from=41&hold_ms=500", answerCall(agent, list(43)));
+                assertEquals(43, appliedVersions.take());
                 assertTrue(silent.isConnected());
             }
         }
     }
 
-    /** A list that is cut, wrong or over the cap is refused whole and counted as that; the last one stays in force. */
+    /** A list that is truncated, malformed or too large is rejected as a whole and counted; the last one stays in force. */
     @Test
-    void aListThatCannotBeUsedChangesNothing() throws Exception {
+    void rejectsUnusableLists() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
-            call(agent, "200 OK\r\nContent-Length: 99999999\r\n\r\n");
-            call(agent, list(42).replace("\"block\":0,", "\"block\":\"x\""));
-            call(agent, list(42).replace("}]}", "}]"));
-            assertEquals("", call(agent, list(43)), "the whole list is asked for");
-            assertEquals(43, taken.take());
+            startSubscribed(agent);
+            answerCall(agent, "200 OK\r\nContent-Length: 99999999\r\n\r\n");
+            answerCall(agent, list(42).replace("\"block\":0,", "\"block\":\"x\""));
+            answerCall(agent, list(42).replace("}]}", "}]"));
+            assertEquals("", answerCall(agent, list(43)), "the whole list is requested");
+            assertEquals(43, appliedVersions.take());
             assertEquals(2, counters.get(Counter.LISTS_REFUSED));
-            assertEquals(1, counters.get(Counter.WATCH_FAILURES), "the one that was cut");
+            assertEquals(1, counters.get(Counter.WATCH_FAILURES), "the truncated list");
         }
     }
 
-    /** Whatever became of two calls, the third is answered before what they missed counts as told. */
+    /** However two calls failed, the third is answered before the changes they missed count as delivered. */
     @Test
-    void twoCallsThatFailInAnyWayLeaveTimeForAThird() {
-        for (boolean begins : new boolean[] {true, false}) {
-            long sum = untilThirdCall(ASKED, begins) + CONNECT_MS;
-            assertTrue(sum <= TOLD_MS - 400, begins + ": " + sum);
+    void twoFailedCallsLeaveTimeForAThird() {
+        for (boolean startsWatch : new boolean[] {true, false}) {
+            long sum = untilThirdCall(SUBSCRIBED, startsWatch) + CONNECT_MS;
+            assertTrue(sum <= DELIVERY_MS - 400, startsWatch + ": " + sum);
         }
-        long returned = ASKED.timeoutMs(true, 1_000) + 750;
-        assertTrue(returned <= 4_000, "a call that was silent as discovery came back, after a new configuration: " + returned);
+        long returned = SUBSCRIBED.timeoutMs(true, 1_000) + 750;
+        assertTrue(returned <= 4_000, "a call that was silent when discovery came back, after a reload: " + returned);
     }
 
-    /** When the call behind two silent ones is made at the latest, in milliseconds after the first. */
-    private static long untilThirdCall(CallSchedule schedule, boolean begins) {
-        long most = 0;
+    /** The latest time of the call after two silent ones, in milliseconds after the first. */
+    private static long untilThirdCall(CallSchedule schedule, boolean startsWatch) {
+        long maxBackoffMs = 0;
         for (int seed = 0; seed < 2_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            most = Math.max(most, schedule.backoffMs(1, random) + schedule.backoffMs(2, random));
+            maxBackoffMs = Math.max(maxBackoffMs, schedule.backoffMs(1, random) + schedule.backoffMs(2, random));
         }
-        return schedule.timeoutMs(begins, 0) + schedule.timeoutMs(true, 1) + most;
+        return schedule.timeoutMs(startsWatch, 0) + schedule.timeoutMs(true, 1) + maxBackoffMs;
     }
 
-    /** Where lists are pushed, what the agent has binds 2 s later, whether or not a watch is open: two calls may be silent. */
+    /** If lists are pushed, a change must be obeyed 2 s after the agent has it, even if two calls in a row were silent. */
     @Test
-    void aPushedChangeIsHeardWithinTheGraceWhateverBecameOfTwoCalls() {
-        for (boolean begins : new boolean[] {true, false}) {
-            long sum = untilThirdCall(PUSHED, begins) + HELD_UP_MS;
-            assertTrue(sum <= GRACE_MS, begins + ": " + sum);
+    void pushedChangeArrivesWithinTheGracePeriodAfterTwoFailedCalls() {
+        for (boolean startsWatch : new boolean[] {true, false}) {
+            long sum = untilThirdCall(PUSHED, startsWatch) + SEND_DELAY_MS;
+            assertTrue(sum <= GRACE_MS, startsWatch + ": " + sum);
         }
     }
 
-    /** Bytes that drip are no sign of life: each used to give the call its whole patience again. */
+    /** Each byte of an answer used to restart the time-out of its call, so that a trickling answer was never given up. */
     @Test
-    void halfAnAnswerIsGivenUpLikeSilence() throws Exception {
+    void slowlyTricklingAnswerTimesOut() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
-            try (Socket half = agent.accept()) {
-                long by = System.nanoTime() + 3_000_000_000L;
-                Thread drips = Workers.newThread("drips", () -> {
+            startSubscribed(agent);
+            try (Socket trickling = agent.accept()) {
+                long deadline = System.nanoTime() + 3_000_000_000L;
+                Thread sender = Workers.newThread("drips", () -> {
                     try {
                         for (byte b : ("HTTP/1.1 200 OK\r\nX-Padding: " + "x".repeat(1_000)).getBytes(StandardCharsets.UTF_8)) {
-                            half.getOutputStream().write(b);
+                            trickling.getOutputStream().write(b);
                             Thread.sleep(100);
                         }
                     } catch (java.io.IOException | InterruptedException e) {
-                        // given up
+                        // the watch closed the connection
                     }
                 });
-                drips.start();
-                assertEquals("?from=41&hold_ms=500", call(agent, list(43)));
-                assertTrue(System.nanoTime() < by, "the call was given its patience anew with each byte");
-                assertEquals(43, taken.take());
+                sender.start();
+                assertEquals("?from=41&hold_ms=500", answerCall(agent, list(43)));
+                assertTrue(System.nanoTime() < deadline, "each byte restarted the time-out of the call");
+                assertEquals(43, appliedVersions.take());
             }
         }
     }
 
-    /** A list older than what is in force would undo a drain; only a second whole one shows that numbers began anew. */
+    /** A list older than the one in force would undo a drain; only a second, whole one shows that the numbering was restarted. */
     @Test
-    void anOlderListChangesNothing() throws Exception {
+    void rejectsAnOlderList() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
-            assertEquals("?from=41&hold_ms=500", call(agent, list(40)));
-            assertEquals("", call(agent, list(7, true)), "the whole list is asked for");
-            assertEquals(7, taken.take(), "a second one that is older");
+            startSubscribed(agent);
+            assertEquals("?from=41&hold_ms=500", answerCall(agent, list(40)));
+            assertEquals("", answerCall(agent, list(7, true)), "the whole list is requested");
+            assertEquals(7, appliedVersions.take(), "a second older list");
             assertEquals(1, counters.get(Counter.LISTS_REFUSED));
         }
     }
 
-    /** One entry that cannot be read used to refuse the list it came with, and the drains in it, for as long as it was told. */
+    /** One unreadable entry used to have its list rejected with the drains in it, as long as discovery sent that entry. */
     @Test
-    void anEntryThatCannotBeReadHidesNoOther() throws Exception {
+    void unreadableEntryDoesNotHideOthers() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
-            String spoilt = HOST.replace("s-1", "s-2").replace("127.0.0.1:5501", "nowhere");
-            String body = "{\"seq\":43,\"whole\":false,\"hosts\":[" + spoilt + "," + HOST.replace("up", "draining") + "]}";
-            call(agent, "200 OK\r\nConnection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            assertEquals(43, taken.poll(2, java.util.concurrent.TimeUnit.SECONDS), "the list was refused");
+            startSubscribed(agent);
+            String unreadable = HOST.replace("s-1", "s-2").replace("127.0.0.1:5501", "nowhere");
+            String body = "{\"seq\":43,\"whole\":false,\"hosts\":[" + unreadable + "," + HOST.replace("up", "draining") + "]}";
+            answerCall(agent, "200 OK\r\nConnection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            assertEquals(43, appliedVersions.poll(2, java.util.concurrent.TimeUnit.SECONDS), "the list was rejected");
         }
     }
 
-    /** The answer of a call that was overdue used to be thrown away with its connection: a slow discovery was never heard. */
+    /** The connection of an overdue call used to be closed, so that a slow discovery was never heard. */
     @Test
-    void anOverdueCallIsStillHeard() throws Exception {
+    void usesTheLateAnswerOfAnOverdueCall() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
+            startSubscribed(agent);
             try (Socket slow = agent.accept(); Socket other = agent.accept()) {
                 slow.getOutputStream().write(("HTTP/1.1 " + list(43)).getBytes(StandardCharsets.UTF_8));
-                assertEquals(43, taken.take());
+                assertEquals(43, appliedVersions.take());
                 other.getOutputStream().write(("HTTP/1.1 " + list(42)).getBytes(StandardCharsets.UTF_8));
-                assertEquals("?from=43&hold_ms=2000", call(agent, list(44)), "an overtaken answer is neither news nor a fault");
-                assertEquals(44, taken.take());
+                assertEquals("?from=43&hold_ms=2000", answerCall(agent, list(44)), "a superseded answer is neither applied nor an error");
+                assertEquals(44, appliedVersions.take());
             }
             assertEquals(1, counters.get(Counter.WATCH_OVERDUE));
             assertEquals(0, counters.get(Counter.LISTS_REFUSED));
         }
     }
 
-    /** However slow discovery is, the oldest call is listened to while newer ones take turns beside it. */
+    /** The oldest call stays open while newer ones are replaced, so that even a very slow discovery is heard. */
     @Test
-    void theOldestCallIsKept() throws Exception {
+    void keepsTheOldestCall() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
-            follow(agent);
+            startSubscribed(agent);
             List<Socket> calls = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 calls.add(agent.accept());
             }
             calls.get(0).getOutputStream().write(("HTTP/1.1 " + list(43)).getBytes(StandardCharsets.UTF_8));
-            assertEquals(43, taken.take());
+            assertEquals(43, appliedVersions.take());
             for (Socket socket : calls) {
                 socket.close();
             }
         }
     }
 
-    /** What discovery told is asked for again where it could not be taken in, by an Error too. */
+    /** A list is requested again if applying it failed, also with an Error. */
     @Test
-    void aListThatCouldNotBeTakenInIsAskedForAgain() throws Exception {
+    void requestsAListAgainThatCouldNotBeApplied() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             HostList known = HostList.decode("{\"seq\":41,\"whole\":true,\"hosts\":[" + HOST + "]}");
             List<Error> faults = new ArrayList<>(List.of(new StackOverflowError()));
-            Workers.newThread("watch", new Watch(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()), known, () -> true, 7, counters, l -> {
+            Workers.newThread("watch", new Watch(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()), known,
+                    () -> true, 7, counters, l -> {
                 if (!faults.isEmpty()) {
                     throw faults.remove(0);
                 }
-                taken.add(l.seq());
+                appliedVersions.add(l.seq());
             })).start();
-            call(agent, list(42));
-            assertEquals("?from=41&hold_ms=500", call(agent, list(42)));
-            assertEquals(42, taken.take());
+            answerCall(agent, list(42));
+            assertEquals("?from=41&hold_ms=500", answerCall(agent, list(42)));
+            assertEquals(42, appliedVersions.take());
         }
     }
 
-    /** Poolers that all lost discovery at one moment must not come back to it at one moment, nor ever faster. */
+    /** Poolers that lost discovery at the same moment must not retry at the same moment, nor faster and faster. */
     @Test
-    void failedCallsAreMadeAgainEverLaterAndAtRandom() {
-        List<Long> first = new ArrayList<>();
+    void retriesWithRandomisedExponentialBackoff() {
+        List<Long> firstBackoffs = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            first.add(ASKED.backoffMs(1, random));
-            assertTrue(first.get(seed) >= 100 && first.get(seed) < 300);
-            long late = ASKED.backoffMs(1_000_000, random);
-            assertTrue(late >= 250 && late < 750, "at most " + late);
+            firstBackoffs.add(SUBSCRIBED.backoffMs(1, random));
+            assertTrue(firstBackoffs.get(seed) >= 100 && firstBackoffs.get(seed) < 300);
+            long longBackoff = SUBSCRIBED.backoffMs(1_000_000, random);
+            assertTrue(longBackoff >= 250 && longBackoff < 750, "at most " + longBackoff);
         }
-        assertNotEquals(1, first.stream().distinct().count());
+        assertNotEquals(1, firstBackoffs.stream().distinct().count());
     }
 
-    /** Where lists are pushed, what the agent has counts from the first moment: the whole list comes first, held calls are short. */
+    /** If lists are pushed, the agent's list counts from the start: the whole list is requested first, and holds are short. */
     @Test
-    void aPushedListIsAskedForAtOnceAndConfirmed() throws Exception {
+    void requestsAndConfirmsAPushedListAtStart() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
-            assertEquals("", call(agent, list(42, true)));
-            assertEquals(42, taken.take());
+            startPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            assertEquals("", answerCall(agent, list(42, true)));
+            assertEquals(42, appliedVersions.take());
             confirmed.acquire();
-            assertEquals("?from=42&hold_ms=400", call(agent, empty(43)));
-            assertEquals("", call(agent, list(43, true)), "a version that names no change is in doubt");
-            assertEquals(43, taken.take());
+            assertEquals("?from=42&hold_ms=400", answerCall(agent, empty(43)));
+            assertEquals("", answerCall(agent, list(43, true)), "a newer version without entries may hide a change");
+            assertEquals(43, appliedVersions.take());
             assertEquals(1, counters.get(Counter.EMPTY_ADVANCES));
         }
     }
 
-    /** Answers that cannot be read tell something all the same: the list in force is not trusted until one can be read. */
+    /** An unreadable answer may hold changes: the list in force is not trusted until an answer can be read. */
     @Test
-    void aListBehindUnreadableAnswersIsNotTrusted() throws Exception {
+    void distrustsTheListAfterUnreadableAnswers() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
-            call(agent, list(42, true));
+            startPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            answerCall(agent, list(42, true));
             confirmed.acquire();
-            call(agent, "200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\"");
+            answerCall(agent, "200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\"");
             long since = System.nanoTime();
             try (Socket silent = agent.accept(); Socket another = agent.accept()) {
                 assertTrue(silent.isConnected() && another.isConnected());
                 distrusted.acquire();
             }
             long after = (System.nanoTime() - since) / 1_000_000;
-            assertTrue(after < GRACE_MS - HELD_UP_MS, "distrusted after " + after + " ms");
-            call(agent, list(43, true));
+            assertTrue(after < GRACE_MS - SEND_DELAY_MS, "distrusted after " + after + " ms");
+            answerCall(agent, list(43, true));
             confirmed.acquire();
         }
     }
 
-    /** A process whose environment names an agent that has left used to call nobody else, for ever. */
+    /** A process whose environment names an agent that is gone used to call no other one. */
     @Test
-    void anAgentThatTheFileNamesIsCalledWhereTheFirstIsGone() throws Exception {
+    void callsTheAlternativeAgentIfTheFirstIsGone() throws Exception {
         try (ServerSocket gone = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
                 ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress first = (InetSocketAddress) gone.getLocalSocketAddress();
             gone.close();
-            followPushed(new AgentAddresses(first, (InetSocketAddress) agent.getLocalSocketAddress()));
-            call(agent, list(41, true));
+            startPushed(new AgentAddresses(first, (InetSocketAddress) agent.getLocalSocketAddress()));
+            answerCall(agent, list(41, true));
             confirmed.acquire();
-            assertEquals("?from=41&hold_ms=400", call(agent, empty(41)), "it is the one that is followed");
+            assertEquals("?from=41&hold_ms=400", answerCall(agent, empty(41)), "the watch follows the alternative");
         }
     }
 
-    /** An entry without a name used to be passed over: what it had to tell was never asked for again. */
+    /** An entry without a name used to be skipped, and its change was never requested again. */
     @Test
-    void anEntryThatCannotBeReadHasTheWholeListAskedFor() throws Exception {
+    void unreadableEntryRequestsTheWholeList() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
-            call(agent, list(41, true));
+            startPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            answerCall(agent, list(41, true));
             confirmed.acquire();
-            call(agent, answer("{\"seq\":42,\"whole\":false,\"hosts\":[{\"health\":\"draining\"}]}"));
-            while (!call(agent, empty(42)).isEmpty()) {
-                // it is asked for within the grace, not at once where the last one has just come
+            answerCall(agent, answer("{\"seq\":42,\"whole\":false,\"hosts\":[{\"health\":\"draining\"}]}"));
+            while (!answerCall(agent, empty(42)).isEmpty()) {
+                // requested within the grace period, but not at once, since a whole list was applied just before
             }
         }
     }
 
-    /** An agent that does not hold watches was asked again without a pause, as fast as both could. */
+    /** An agent that does not hold watches used to be called in a tight loop. */
     @Test
-    void anAgentThatHoldsNothingIsNotAskedWithoutPause() throws Exception {
+    void limitsCallsToAnAgentThatAnswersImmediately() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            followPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
-            call(agent, list(41, true));
+            startPushed(AgentAddresses.only((InetSocketAddress) agent.getLocalSocketAddress()));
+            answerCall(agent, list(41, true));
             long since = System.nanoTime();
             for (int i = 0; i < 5; i++) {
-                call(agent, list(41, true));
+                answerCall(agent, list(41, true));
             }
-            assertTrue(System.nanoTime() - since > 400_000_000L, "five answers at once");
+            assertTrue(System.nanoTime() - since > 400_000_000L, "five answers without a delay between them");
         }
     }
 
-    private void followPushed(AgentAddresses agents) {
+    /** Starts a watch in push mode whose cached list has version 41. */
+    private void startPushed(AgentAddresses agents) {
         HostList known = HostList.decode("{\"seq\":41,\"whole\":true,\"hosts\":[" + HOST + "]}");
         Workers.newThread("watch", new Watch(agents, known, () -> false, 7, counters, new ListListener() {
             @Override
             public void changed(HostList list) {
-                taken.add(list.seq());
+                appliedVersions.add(list.seq());
             }
 
             @Override
