--- a/pooler/src/main/java/holdmux/config/Config.java
+++ b/pooler/src/main/java/holdmux/config/Config.java
@@ -11,25 +11,37 @@
 import org.json.JSONObject;
 
 /**
- * All that the pooler is told at its start; {@code memoryMb} and {@code sockets} are its limits, {@code management} is
- * null where the operators have no address of their own, {@code otherDiscovery} is what the file names where the environment
- * has the last word and names another agent, else null, {@code keys} are all that the file told and {@code ownSettings}
- * its settings as they stand there.
+ * The configuration of the pooler, from its file and from environment variables.
+ *
+ * @param name the name of this pooler
+ * @param listen the address for clients
+ * @param discovery the address of the discovery agent
+ * @param alternativeDiscovery the agent named by the file where the environment names another one, else null
+ * @param management the address for operators, null if there is none
+ * @param seed the seed of random choices
+ * @param memoryMb the memory limit in megabytes
+ * @param sockets the limit on file descriptors
+ * @param cachedList the last known server list
+ * @param deployment the decoded settings
+ * @param keys the paths of all keys in the file, without those of the server list
+ * @param ownSettings the {@code settings} object of the file
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress alternativeDiscovery,
         InetSocketAddress management, long seed, int memoryMb, int sockets, HostList cachedList, Deployment deployment, Set<String> keys,
         JSONObject ownSettings) {
-    /** 1,024 servers with indentation and the longest names take 1.1 MiB, and a policy's settings some KiB. */
+    /** A list of 1,024 servers with the longest names, indented, is 1.1 MiB; the settings are a few KiB. */
     private static final long MAX_BYTES = 4 << 20;
 
-    /** Reads the file that BALANCER_CONFIG names; the other variables, where set, have the last word. */
+    /** Reads the file named by BALANCER_CONFIG; the other environment variables override the file. */
     public static Config load(Map<String, String> env, long zeroNs) throws IOException {
         return decode(readFile(env), env, zeroNs, false);
     }
 
     /**
-     * The file as it is now, read whole and checked. What it names counts over the environment, which tells how
-     * things were at the start; positions go on counting from where they did.
+     * Reads and checks the file again. It overrides the environment, whose values date from the start of the process. The origin
+     * of positions stays the same.
+     *
+     * @throws ConfigException if the file is invalid, lacks a key that this configuration has, or changes the report fields
      */
     public Config reload(Map<String, String> env) throws IOException {
         Config next = decode(readFile(env), env, deployment.settings().zeroNs(), true);
@@ -44,16 +56,17 @@
         return next;
     }
 
-    /** What a fleet's policy, the {@code settings} of one, means for this pooler. */
+    /** The deployment that results for this pooler from the {@code settings} of a fleet's policy. */
     public Deployment deploymentUnder(JSONObject policySettings) {
         return SettingsReader.overlay(ownSettings, policySettings, deployment.settings().zeroNs());
     }
 
+    /** The caps that follow from the limits. */
     public Caps caps() {
         return Caps.of(sockets, memoryMb);
     }
 
-    /** Addresses and limits, which the program takes up at its start. */
+    /** Whether the other configuration differs in addresses or limits that are read only at start-up. */
     public boolean needsRestartFor(Config next) {
         return !(next.listen.equals(listen) && next.memoryMb == memoryMb && next.sockets == sockets
                 && Objects.equals(next.management, management));
@@ -65,12 +78,12 @@
             throw new ConfigException("BALANCER_CONFIG is not set");
         }
         if (Files.size(Path.of(file)) > MAX_BYTES) {
-            throw new ConfigException("configuration: over " + MAX_BYTES + " bytes");
+            throw new ConfigException("configuration: file larger than " + MAX_BYTES + " bytes");
         }
         return Files.readString(Path.of(file));
     }
 
-    /** {@code zeroNs}: where positions count from on this program's clock; the simulator's own means nothing here. */
+    /** {@code zeroNs}: the origin of positions on this process's clock; it replaces any value in the file. */
     static Config decode(String json, Map<String, String> env, long zeroNs, boolean fileOverridesEnv) {
         try {
             JSONObject root = new JSONObject(json);
@@ -80,10 +93,11 @@
             String management = stringValue(root, "management", env, "BALANCER_MANAGEMENT", fileOverridesEnv);
             JSONObject limits = root.getJSONObject("limits");
             Set<String> keys = Flattener.keys(root);
-            keys.removeIf(key -> key.startsWith("known.")); // hosts come and go
+            keys.removeIf(key -> key.startsWith("known.")); // the listed servers may change
             return new Config(stringValue(root, "name", env, "BALANCER_NAME", fileOverridesEnv),
                     address(stringValue(root, "listen", env, "BALANCER_LISTEN", fileOverridesEnv)),
-                    address(stringValue(root, "discovery", env, "BALANCER_DISCOVERY", fileOverridesEnv)), alternativeDiscovery(root, env, fileOverridesEnv),
+                    address(stringValue(root, "discovery", env, "BALANCER_DISCOVERY", fileOverridesEnv)),
+                    alternativeDiscovery(root, env, fileOverridesEnv),
                     management.isEmpty() ? null : address(management),
                     Long.parseUnsignedLong(root.getString("seed"), 16), limits.getInt("memory_mb"),
                     limits.getInt("sockets"), HostList.decode(root.getJSONObject("known"), fileOverridesEnv),
@@ -94,8 +108,8 @@
     }
 
     /**
-     * The agent that the file names beside the environment's: a process that is started again after its configuration has
-     * moved discovery may still be given the address of before.
+     * The agent named by the file if the environment names another one: after a reload has moved discovery, a restarted process
+     * may still be given the old address by its environment.
      */
     private static InetSocketAddress alternativeDiscovery(JSONObject root, Map<String, String> env, boolean fileOverridesEnv) {
         String fromEnv = env.get("BALANCER_DISCOVERY");
@@ -103,13 +117,14 @@
         return differs ? address(root.getString("discovery")) : null;
     }
 
+    /** The value of a key or its environment variable by their precedence; empty if neither is set. */
     private static String stringValue(JSONObject root, String key, Map<String, String> env, String variable,
             boolean fileOverridesEnv) {
         boolean fromFile = root.has(key) && (fileOverridesEnv || !env.containsKey(variable));
         return fromFile ? root.getString(key) : env.getOrDefault(variable, "");
     }
 
-    /** A numeric address and a port; there is no name service to ask. */
+    /** Parses a numeric IP address and port; host names are rejected, since there is no name service. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/pooler/src/main/java/holdmux/config/Deployment.java
+++ b/pooler/src/main/java/holdmux/config/Deployment.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What the pooler is told of its deployment: the module's settings and, in the order of their indices, the names
- * that stand for classes, zones, machine kinds and load report fields on the sockets.
+ * The settings of a deployment: those of the decision module, the connection time-outs and, in the order of the indices that the
+ * module uses, the names of request classes, zones, machine kinds and load report fields.
  */
 public record Deployment(Settings settings, List<String> classes, List<String> zones, List<String> kinds,
         List<String> reportFields, long connIdleNs, long connectTimeoutNs) {}
--- a/pooler/src/main/java/holdmux/config/Flattener.java
+++ b/pooler/src/main/java/holdmux/config/Flattener.java
@@ -10,22 +10,23 @@
 import org.json.JSONObject;
 
 /**
- * Brings nested JSON settings to the simulator's path=value form: a list of plain values is joined with commas, a
- * list of objects puts its length under {@code .count} and its items under {@code .0}, {@code .1} and so on, and
- * blanks and commas inside a value turn into {@code _}.
+ * Flattens nested JSON settings to the path=value form of the simulator. Lists of scalars are joined with commas. Lists of objects
+ * store their length at {@code .count} and their items at {@code .0}, {@code .1} and so on. Spaces and commas within a value become
+ * {@code _}.
  */
 public final class Flattener {
     private final Map<String, String> values = new TreeMap<>();
 
     private Flattener() {}
 
+    /** The values of an object by their dotted paths. */
     public static Map<String, String> flatten(JSONObject settings) {
         Flattener flattener = new Flattener();
         flattener.addObject("", settings);
         return flattener.values;
     }
 
-    /** The paths of all values, with {@code *} for the places of a list; of a list's items those that all have. */
+    /** The paths of all keys, with {@code *} for a list index; of the items of a list, the paths that all items have. */
     static Set<String> keys(JSONObject object) {
         Set<String> keys = new HashSet<>();
         for (String key : object.keySet()) {
--- a/pooler/src/main/java/holdmux/config/HostList.java
+++ b/pooler/src/main/java/holdmux/config/HostList.java
@@ -9,23 +9,33 @@
 import org.json.JSONObject;
 
 /**
- * Discovery's list of servers, whole or only what changed, as one document told it; {@code unfit} are entries that name a
- * server and cannot be read otherwise.
+ * A server list from discovery, or the changes to one.
+ *
+ * @param seq the version of the list
+ * @param whole whether this is the whole list rather than changes
+ * @param hosts the valid entries
+ * @param unfit the entries that could not be read
  */
 public record HostList(long seq, boolean whole, List<Host> hosts, List<Unfit> unfit) {
-    /** An entry that cannot be used: the server it names, its health as it stands there, and what is wrong with it. */
+    /**
+     * An entry that cannot be used.
+     *
+     * @param name the server that it names, or empty
+     * @param health its {@code health} field as received, or empty
+     * @param problem what is wrong with it
+     */
     public record Unfit(String name, String health, String problem) {
-        /** Whether it says in so many words that the server takes new work. */
+        /** Whether the entry explicitly says that the server accepts new work. */
         public boolean reportsUp() {
             return health.equals(UP);
         }
 
-        /** Whether it says that the server takes nothing new. */
+        /** Whether the entry says that the server accepts no new work: it is draining or removed. */
         public boolean reportsUnavailable() {
             return health.equals(DRAINING) || health.equals(REMOVED);
         }
 
-        /** Whether it says that the server is gone. */
+        /** Whether the entry says that the server is removed. */
         public boolean reportsRemoved() {
             return health.equals(REMOVED);
         }
@@ -33,30 +43,43 @@
 
     private static final String UP = "up", DRAINING = "draining", REMOVED = "removed";
 
-    /** A list all of whose entries can be used. */
+    /** Creates a list without unreadable entries. */
     public HostList(long seq, boolean whole, List<Host> hosts) {
         this(seq, whole, hosts, List.of());
     }
 
-    /** One server; {@code dial} is null for one that is gone, {@code bornMs} is 0 for long ago. */
+    /**
+     * A listed server.
+     *
+     * @param name its name
+     * @param dial its address, null if it is removed
+     * @param site its zone
+     * @param kind its kind of machine
+     * @param group its server group
+     * @param availability whether it accepts new work
+     * @param share its relative capacity
+     * @param bornMs its start in Unix milliseconds, 0 if unknown or long ago
+     * @param primary whether it is the primary of its group
+     */
     public record Host(String name, InetSocketAddress dial, String site, String kind, int group, Availability availability,
             double share, long bornMs, boolean primary) {
-        /** The same server in another state. */
+        /** The same server with another availability. */
         public Host withAvailability(Availability newAvailability) {
             return newAvailability == availability ? this
-                    : new Host(name, newAvailability == Availability.GONE ? null : dial, site, kind, group, newAvailability, share, bornMs, primary);
+                    : new Host(name, newAvailability == Availability.GONE ? null : dial, site, kind, group, newAvailability, share,
+                            bornMs, primary);
         }
 
-        /** The same server, started anew at this time. */
+        /** The same server, restarted at this time. */
         public Host withBornMs(long newBornMs) {
             return new Host(name, dial, site, kind, group, availability, share, newBornMs, primary);
         }
     }
 
-    /** Servers named in a line of the log at most. */
+    /** The most servers named in a log line for each availability. */
     private static final int MAX_NAMED = 8;
 
-    /** The list for a line of the log: its version, and which servers it has draining or removed. */
+    /** A summary for the log: the version, the number of servers, and which of them are draining or removed. */
     public String describe() {
         return "version " + seq + (whole ? ", whole, " : ", ") + hosts.size() + " servers, draining "
                 + namesOf(Availability.DRAINING) + ", removed " + namesOf(Availability.GONE);
@@ -67,18 +90,19 @@
     }
 
     /**
-     * Decodes one document; what does not have discovery's form is a {@link ConfigException}. An entry that cannot be read
-     * is set apart: it must not hide what the others tell.
+     * Decodes a list. Unreadable entries are collected in {@link #unfit}, so that they don't hide the valid ones.
+     *
+     * @throws ConfigException if the document is not a server list
      */
     public static HostList decode(String json) {
         try {
             return decode(new JSONObject(json), true);
         } catch (JSONException e) {
-            throw new ConfigException("a list of hosts: " + e.getMessage());
+            throw new ConfigException("server list: " + e.getMessage());
         }
     }
 
-    /** {@code lenient}: whether entries that cannot be read are set apart, rather than the whole list refused. */
+    /** {@code lenient}: whether unreadable entries are collected, rather than the whole list rejected. */
     static HostList decode(JSONObject list, boolean lenient) {
         JSONArray entries = list.getJSONArray("hosts");
         List<Host> hosts = new ArrayList<>();
--- a/pooler/src/main/java/holdmux/config/SettingsReader.java
+++ b/pooler/src/main/java/holdmux/config/SettingsReader.java
@@ -17,13 +17,13 @@
 import org.json.JSONObject;
 
 /**
- * Reads the settings of an instance by name; keys that it does not know are ignored. The simulator hands them
- * over as path=value lines, the pooler's configuration as nested JSON that {@link Flattener} brings to that form.
+ * Decodes the settings of a pooler; unknown keys are ignored. The simulator passes them as path=value lines, the configuration file
+ * as nested JSON, which {@link Flattener} converts to that form.
  */
 public final class SettingsReader {
     /**
-     * What is each pooler's own, or stands as long as its process: its index and zone, and the names that its tables are
-     * built with at the start. A policy for the whole fleet leaves these to each pooler's file.
+     * Keys that are specific to each pooler or fixed for the life of its process: its index and zone, and the names from which
+     * tables are built at start-up. A policy for the whole fleet does not override these.
      */
     public static final List<String> LOCAL_KEYS = List.of("me", "zone", "zones", "skus", "report");
 
@@ -33,7 +33,7 @@
         this.values = values;
     }
 
-    /** The settings in path=value lines. */
+    /** Reads settings from path=value lines. */
     public static Settings read(String config) {
         Map<String, String> values = new HashMap<>();
         config.lines().filter(line -> line.indexOf('=') > 0).forEach(line -> {
@@ -44,9 +44,8 @@
     }
 
     /**
-     * Checks the {@code settings} object of a configuration as {@link Config#load} would take it up: the same schema
-     * and limits, for a policy that is not in force yet. Positions count from 0 here; {@code me}, each pooler's own
-     * index, may be left out.
+     * Validates a {@code settings} object that is not in force, such as that of a policy, by the same rules as {@link Config#load}.
+     * The origin of positions is 0; {@code me}, the index of each pooler, may be absent.
      *
      * @throws ConfigException naming the first key that is missing or out of bounds
      */
@@ -54,7 +53,7 @@
         try {
             Map<String, String> values = Flattener.flatten(settings);
             values.put("family-info.zero-ns", "0");
-            values.putIfAbsent("me", "0"); // each pooler's own, from its file
+            values.putIfAbsent("me", "0"); // taken from the file of each pooler
             return new SettingsReader(values).deployment();
         } catch (JSONException e) {
             throw new ConfigException("settings: " + e.getMessage());
@@ -62,11 +61,11 @@
     }
 
     /**
-     * What a fleet's policy means for one pooler: the policy's settings with this pooler's {@link #LOCAL_KEYS} in their place.
+     * Combines a fleet's policy with the settings of one pooler, from which the {@link #LOCAL_KEYS} are taken.
      *
-     * @param own    the {@code settings} of the pooler's file
-     * @param policy the {@code settings} of the policy
-     * @param zeroNs where positions count from on the pooler's clock
+     * @param localSettings the {@code settings} of the pooler's file
+     * @param policySettings the {@code settings} of the policy
+     * @param zeroNs the origin of positions on the pooler's clock
      * @throws ConfigException naming the first key that is missing or out of bounds
      */
     public static Deployment overlay(JSONObject localSettings, JSONObject policySettings, long zeroNs) {
@@ -84,14 +83,14 @@
         }
     }
 
-    /** The names and figures that only the real pooler needs, beside what the module is told. */
+    /** The settings of the decision module, with the names and time-outs that only the pooler itself needs. */
     Deployment deployment() {
         int classes = (int) atLeast("request-classes.count", 1);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
             String nameKey = "request-classes." + i + ".name";
             if (names.contains(required(nameKey))) {
-                throw new ConfigException("settings: " + nameKey + " is " + required(nameKey) + ", as an earlier class is");
+                throw new ConfigException("settings: " + nameKey + " is " + required(nameKey) + ", the name of an earlier class");
             }
             names.add(required(nameKey));
         }
@@ -144,7 +143,7 @@
     private Rules rules() {
         double coldShare = decimal("guarantees.cold-share", 1);
         if (!(coldShare >= 0 && coldShare <= 1)) {
-            throw new ConfigException("settings: guarantees.cold-share is " + coldShare + ", no part of a whole");
+            throw new ConfigException("settings: guarantees.cold-share is " + coldShare + ", not between 0 and 1");
         }
         return new Rules(atLeast("guarantees.answer-slack-ns", 0), atLeast("guarantees.drain-grace-ns", 0),
                 coldShare, atLeast("guarantees.ramp-time-ns", 0),
--- a/pooler/src/test/java/holdmux/config/ConfigTest.java
+++ b/pooler/src/test/java/holdmux/config/ConfigTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 public class ConfigTest {
-    /** A configuration of a small deployment, in the form that DEPLOY describes. */
+    /** The configuration file of a small deployment. */
     public static String sample() {
         try (InputStream in = ConfigTest.class.getResourceAsStream("/config.json")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).strip();
@@ -35,15 +35,15 @@
     }
 
     @Test
-    void decodesAllThatThePoolerIsTold() {
+    void decodesTheConfiguration() {
         Config config = Config.decode(sample(), Map.of("BALANCER_LISTEN", "127.0.0.9:6000"), 77, false);
         assertEquals("n3", config.name());
-        assertEquals(6000, config.listen().getPort(), "the environment has the last word");
+        assertEquals(6000, config.listen().getPort(), "the environment overrides the file");
         assertEquals(8500, config.discovery().getPort());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
         assertEquals(1024, config.sockets());
         Deployment deployment = config.deployment();
-        assertEquals(77, deployment.settings().zeroNs(), "positions count from our own zero");
+        assertEquals(77, deployment.settings().zeroNs(), "the origin of positions is that of this process");
         assertEquals("save-quote", deployment.classes().get(1));
         assertEquals(Consistency.WRITE, deployment.settings().classes().get(1).consistency());
         assertEquals(250_000_000L, deployment.connectTimeoutNs());
@@ -51,9 +51,9 @@
         assertTrue(config.cachedList().hosts().get(0).primary());
     }
 
-    /** What a replaced file names counts over the environment given at the start; a bad file changes nothing. */
+    /** On a reload the file overrides the environment, which dates from the start; an invalid file changes nothing. */
     @Test
-    void aReloadReadsTheFileAgainAndPutsItFirst(@TempDir Path folder) throws IOException {
+    void reloadOverridesTheEnvironment(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "BALANCER_DISCOVERY", "127.0.0.1:8501");
         Files.writeString(file, sample());
@@ -69,22 +69,22 @@
         assertThrows(ConfigException.class, () -> config.reload(env));
     }
 
-    /** A file with any key missing is broken: a default in its place would change what nobody ordered. */
+    /** A reloaded file must have all keys of the one before: a default for a missing key would change a setting unintentionally. */
     @Test
-    void aReloadMustNameAllThatWasNamed(@TempDir Path folder) throws IOException {
+    void reloadRejectsMissingKeys(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString());
         Files.writeString(file, sample());
         Config config = Config.load(env, 77);
-        for (String gone : List.of("\"late-worth\":0.0,", "\"discovery\":\"127.0.0.1:8500\",", "\"cancel\":true,",
+        for (String missing : List.of("\"late-worth\":0.0,", "\"discovery\":\"127.0.0.1:8500\",", "\"cancel\":true,",
                 "\"overload-factor\":2.0,", "\"tenants\":[],", "\"cores\":1.0,")) {
-            assertTrue(sample().contains(gone), gone);
-            Files.writeString(file, sample().replace(gone, ""));
-            assertThrows(ConfigException.class, () -> config.reload(env), gone);
+            assertTrue(sample().contains(missing), missing);
+            Files.writeString(file, sample().replace(missing, ""));
+            assertThrows(ConfigException.class, () -> config.reload(env), missing);
         }
-        for (String broken : List.of("\"max-attempts\":0", "\"max-attempts\":-1")) {
-            Files.writeString(file, sample().replace("\"max-attempts\":6", broken));
-            assertThrows(ConfigException.class, () -> config.reload(env), broken);
+        for (String invalid : List.of("\"max-attempts\":0", "\"max-attempts\":-1")) {
+            Files.writeString(file, sample().replace("\"max-attempts\":6", invalid));
+            assertThrows(ConfigException.class, () -> config.reload(env), invalid);
         }
         Files.writeString(file, sample().replace("\"deadline-ns\":1000000000", "\"deadline-ns\":0"));
         assertThrows(ConfigException.class, () -> config.reload(env));
@@ -94,43 +94,43 @@
         settings.getJSONObject("family-info").getJSONArray("consistency").remove(0);
         settings.getJSONObject("family-info").getJSONArray("class-bound-ns").remove(0);
         Files.writeString(file, fewer.toString());
-        assertEquals(List.of("save-quote"), config.reload(env).deployment().classes(), "a class may go");
+        assertEquals(List.of("save-quote"), config.reload(env).deployment().classes(), "a class may be removed");
     }
 
-    /** What contradicts itself is refused whole, by the path of its key, at a start as at SIGHUP. */
+    /** Invalid or inconsistent settings are rejected with the path of their key, at start-up as at a reload. */
     @Test
-    void settingsThatContradictThemselvesAreRefusedByTheirKey() {
-        Map<String, String> wrong = Map.of("\"name\":\"save-quote\"", "request-classes.1.name|\"name\":\"my-quotes\"",
+    void invalidSettingsAreRejectedByKey() {
+        Map<String, String> replacements = Map.of("\"name\":\"save-quote\"", "request-classes.1.name|\"name\":\"my-quotes\"",
                 "\"cold-share\":0.15", "guarantees.cold-share|\"cold-share\":1.5",
                 "\"ramp-time-ns\":13000000000", "guarantees.ramp-time-ns|\"ramp-time-ns\":-1",
                 "\"consistency\":[\"session\",\"write\"]", "2 classes, but 1|\"consistency\":[\"session\"]",
                 "\"effect\":\"idempotent\"", "request-classes.0.window-ns|\"effect\":\"idempotent\",\"window-ns\":-5");
-        wrong.forEach((was, then) -> {
-            assertTrue(sample().contains(was), was);
-            String text = sample().replace(was, then.substring(then.indexOf('|') + 1));
-            String said = assertThrows(ConfigException.class, () -> Config.decode(text, Map.of(), 0, false)).getMessage();
-            assertTrue(said.contains(then.substring(0, then.indexOf('|'))), said);
+        replacements.forEach((valid, keyAndInvalid) -> {
+            assertTrue(sample().contains(valid), valid);
+            String text = sample().replace(valid, keyAndInvalid.substring(keyAndInvalid.indexOf('|') + 1));
+            String message = assertThrows(ConfigException.class, () -> Config.decode(text, Map.of(), 0, false)).getMessage();
+            assertTrue(message.contains(keyAndInvalid.substring(0, keyAndInvalid.indexOf('|'))), message);
         });
     }
 
-    /** No name of a deployment stands in the program or in its deploy file. */
+    /** The program and its deploy file must not depend on names of a particular deployment. */
     @Test
-    void theProgramNamesNoDeployment() throws IOException {
+    void programContainsNoDeploymentNames() throws IOException {
         List<String> names = List.of("rate-lookup", "my-quotes", "\"history\"", "quote-check", "save-quote", "kingston", "spanish-town",
                 "std-4core", "quote-db", "valpadana", "rennes", "clip-write", "record-change");
-        List<Path> all = new ArrayList<>(List.of(Path.of("../deploy/balancer.toml")));
+        List<Path> files = new ArrayList<>(List.of(Path.of("../deploy/balancer.toml")));
         try (Stream<Path> sources = Files.walk(Path.of("src/main/java"))) {
-            sources.filter(Files::isRegularFile).forEach(all::add);
+            sources.filter(Files::isRegularFile).forEach(files::add);
         }
-        assertTrue(all.size() > 50);
-        for (Path file : all) {
+        assertTrue(files.size() > 50);
+        for (Path file : files) {
             String text = Files.readString(file);
             names.forEach(name -> assertFalse(text.contains(name), file + " names " + name));
         }
     }
 
-    /** A list of 1,024 servers, indented, with the longest names there are. */
-    public static JSONObject longList() {
+    /** A list of 1,024 servers with the longest names. */
+    public static JSONObject largeList() {
         String name = "s".repeat(249);
         JSONArray hosts = new JSONArray();
         for (int i = 0; i < 1_024; i++) {
@@ -140,29 +140,29 @@
         return new JSONObject(Map.of("seq", 1, "whole", true, "hosts", hosts));
     }
 
-    /** Guards against caps under 1,024 servers: indented, with the longest names, so many are taken whole. */
+    /** The size limit of the file must allow an indented list of 1,024 servers with the longest names. */
     @Test
-    void aThousandServersWithTheLongestNamesFit(@TempDir Path folder) throws IOException {
+    void loadsAThousandServersWithTheLongestNames(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, new JSONObject(sample()).put("known", longList()).toString(8));
+        Files.writeString(file, new JSONObject(sample()).put("known", largeList()).toString(8));
         assertEquals(1_024, Config.load(Map.of("BALANCER_CONFIG", file.toString()), 0).cachedList().hosts().size());
     }
 
-    /** Caps follow the limits told, never one machine's figures, and leave descriptors and memory to spare. */
+    /** The caps follow from the configured limits, not from those of the machine, and leave spare descriptors and memory. */
     @Test
     void capsFollowTheLimits() {
         for (int[] limit : new int[][] {{256, 128}, {384, 144}, {1_024, 192}, {1_024, 96}}) {
             Caps caps = Caps.of(limit[0], limit[1]);
             assertTrue(caps.clients() + caps.servers() <= limit[0] * 9 / 10);
             assertTrue(caps.workers() > caps.clients());
-            assertTrue(caps.workers() - caps.clients() <= Math.max(40, caps.servers()), "probes beyond connections");
+            assertTrue(caps.workers() - caps.clients() <= Math.max(40, caps.servers()), "more threads for probes than connections");
             assertTrue(64 + 25 + caps.clients() / 8 <= limit[1], caps.toString());
         }
         assertEquals(128, Caps.of(256, 128).clients());
         assertEquals(32, Caps.of(256, 32).clients());
         Caps largest = Caps.of(1_024, 192);
         assertEquals(358, largest.servers());
-        assertEquals(358, largest.workers() - largest.clients(), "a probe for each connection there may be");
+        assertEquals(358, largest.workers() - largest.clients(), "one thread for probes for each server connection");
     }
 
     @Test
@@ -174,30 +174,30 @@
     }
 
     @Test
-    void refusesNamesWhereAddressesMustBe() {
+    void rejectsAddressesThatAreNotNumeric() {
         assertThrows(ConfigException.class, () -> Config.address("localhost:80"));
         assertThrows(ConfigException.class, () -> Config.address("127.0.0.1"));
         assertThrows(ConfigException.class, () -> Config.address("127.0.0.1:70000"));
     }
 
     @Property(tries = 200, seed = "41")
-    void cutsAndGarbageAreRefusedInOneLine(@ForAll @IntRange(max = 2_000) int at, @ForAll byte[] garbage) {
-        String cut = sample().substring(0, Math.min(at, sample().length() - 1));
-        assertThrows(ConfigException.class, () -> Config.decode(cut, Map.of(), 0, false));
+    void rejectsTruncatedAndGarbageInput(@ForAll @IntRange(max = 2_000) int length, @ForAll byte[] garbage) {
+        String truncated = sample().substring(0, Math.min(length, sample().length() - 1));
+        assertThrows(ConfigException.class, () -> Config.decode(truncated, Map.of(), 0, false));
         assertThrows(ConfigException.class, () -> HostList.decode(new String(garbage, StandardCharsets.UTF_8)));
     }
 
-    /** A fleet's policy leaves a pooler its own place: a zone taken from it would send reads across the country. */
+    /** A policy must not override the zone and the other local keys of a pooler, or reads would go to distant replicas. */
     @Test
-    void aFleetsPolicyLeavesEachPoolerWhatIsItsOwn() {
+    void overlayKeepsTheLocalKeysOfThePooler() {
         JSONObject own = new JSONObject(sample()).getJSONObject("settings");
         JSONObject policy = new JSONObject(own.toString()).put("over-share-worth", 0.7).put("me", 41)
                 .put("zone", 3).put("skus", List.of("other")).put("balancers", 9);
         Deployment merged = SettingsReader.overlay(own, policy, 7);
-        Deployment alone = SettingsReader.overlay(own, own, 7);
-        assertEquals(alone.kinds(), merged.kinds());
-        assertEquals(alone.settings().me(), merged.settings().me());
-        assertEquals(alone.settings().zone(), merged.settings().zone());
+        Deployment unchanged = SettingsReader.overlay(own, own, 7);
+        assertEquals(unchanged.kinds(), merged.kinds());
+        assertEquals(unchanged.settings().me(), merged.settings().me());
+        assertEquals(unchanged.settings().zone(), merged.settings().zone());
         assertEquals(9, merged.settings().balancers());
         assertEquals(7, merged.settings().zeroNs());
     }
