--- a/pooler/src/main/java/holdmux/management/EffectiveOrders.java
+++ b/pooler/src/main/java/holdmux/management/EffectiveOrders.java
@@ -6,40 +6,41 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The orders of this pooler's own operators and those of the whole fleet's policy, put in force together. */
+/** Combines the orders of this pooler's operators with those of the fleet's policy, and puts the result in force. */
 public final class EffectiveOrders {
     private final Consumer<Orders> applyOrders;
     private final LongSupplier unixMs;
-    private Orders setPoolerOrders = Orders.NONE;
-    private Orders setFleetOrders = Orders.NONE;
+    private Orders poolerOrders = Orders.NONE;
+    private Orders fleetOrders = Orders.NONE;
 
+    /** {@code applyOrders}: puts the combined orders in force; {@code unixMs}: the current Unix time in milliseconds. */
     public EffectiveOrders(Consumer<Orders> applyOrders, LongSupplier unixMs) {
         this.applyOrders = applyOrders;
         this.unixMs = unixMs;
     }
 
-    /** What this pooler's operators ordered, whole. */
+    /** Replaces the orders of this pooler's operators. */
     public synchronized void setPoolerOrders(Orders orders) {
-        setPoolerOrders = orders;
+        poolerOrders = orders;
         apply();
     }
 
-    /** What the fleet's policy orders here, whole; a server counts as left out since it was first named. */
+    /** Replaces the orders of the fleet's policy; a server counts as excluded since the policy first named it. */
     public synchronized void setFleetOrders(Set<String> excluded, boolean evacuated) {
         Map<String, Long> since = new TreeMap<>();
-        excluded.forEach(server -> since.put(server, setFleetOrders.excluded().getOrDefault(server, unixMs.getAsLong())));
-        setFleetOrders = new Orders(since, evacuated);
+        excluded.forEach(server -> since.put(server, fleetOrders.excluded().getOrDefault(server, unixMs.getAsLong())));
+        fleetOrders = new Orders(since, evacuated);
         apply();
     }
 
-    /** Whether the fleet's policy sends this pooler's clients away. */
+    /** Whether the fleet's policy sends the clients of this pooler away. */
     public synchronized boolean fleetEvacuates() {
-        return setFleetOrders.evacuated();
+        return fleetOrders.evacuated();
     }
 
     private void apply() {
-        Map<String, Long> merged = new TreeMap<>(setFleetOrders.excluded());
-        merged.putAll(setPoolerOrders.excluded());
-        applyOrders.accept(new Orders(merged, setPoolerOrders.evacuated() || setFleetOrders.evacuated()));
+        Map<String, Long> merged = new TreeMap<>(fleetOrders.excluded());
+        merged.putAll(poolerOrders.excluded());
+        applyOrders.accept(new Orders(merged, poolerOrders.evacuated() || fleetOrders.evacuated()));
     }
 }
--- a/pooler/src/main/java/holdmux/management/ManagementServer.java
+++ b/pooler/src/main/java/holdmux/management/ManagementServer.java
@@ -2,8 +2,8 @@
 
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
-import holdmux.core.Log;
 import holdmux.core.DeadlineInputStream;
+import holdmux.core.Log;
 import holdmux.core.Workers;
 import holdmux.discovery.HttpHead;
 import java.io.BufferedInputStream;
@@ -20,36 +20,38 @@
 import java.util.Set;
 
 /**
- * The operators' HTTP/1.1 calls, one a connection, at an address of their own. Shares neither threads nor deadlines with
- * the clients, so that no load delays a call; and who never finishes a call makes room for the next.
+ * Serves the operators' HTTP/1.1 API at an address of its own, with one call per connection. It shares neither threads nor
+ * deadlines with client traffic, so that load does not delay calls. Unfinished calls are closed to make room for new ones.
  */
 public final class ManagementServer implements Runnable {
-    /** Calls at once: a few operators and their scripts. Part of the descriptors kept spare. */
+    /** The most concurrent calls, enough for a few operators and their scripts; their sockets come from the descriptors left spare. */
     private static final int MAX_CALLS = 16;
-    /** A call must be whole within this; its caller waits 1 s. */
+    /** The time within which a request must be complete; callers wait for 1 s. */
     private static final int CALL_TIMEOUT_MS = 2_000;
-    /** How long a caller is waited for that does not close by itself behind its answer. */
+    /** How long the caller is given to close the connection after its answer. */
     private static final int LINGER_MS = 100;
-    /** After a failed accept or bind: soon enough for an operator. */
+    /** The delay after a failed accept or bind, too short for an operator to notice. */
     private static final int RETRY_DELAY_MS = 200;
-    /** No call needs a body; one within this is read and passed over, so that the answer is not cut off by it. */
+    /** Calls need no body. One of up to this size is read and discarded, so that it does not reset the connection. */
     private static final int MAX_BODY = 65_536;
 
+    /** The HTTP status of an answer and its message. */
     private record Result(int status, String message) {}
 
     private final InetSocketAddress address;
     private final Operations operations;
     private final Counters counters;
-    /** The calls under way, the oldest first. */
+    /** The connections of the calls in progress, the oldest first. */
     private final Set<Socket> calls = new LinkedHashSet<>();
 
+    /** Creates a server; {@link #run} starts it. */
     public ManagementServer(InetSocketAddress address, Operations operations, Counters counters) {
         this.address = address;
         this.operations = operations;
         this.counters = counters;
     }
 
-    /** Listens for ever; an address that is still taken, by the process before this one, is tried again. */
+    /** Listens for the life of the process. The address may still be in use by an older process, so binding is retried. */
     @Override
     public void run() {
         boolean warned = false;
@@ -92,7 +94,7 @@
         try {
             Workers.newThread("management call", () -> handle(socket)).start();
         } catch (OutOfMemoryError e) {
-            finish(socket); // no thread to be had: the caller may try again
+            finish(socket); // no thread could be created: the caller may try again
         }
     }
 
@@ -107,23 +109,26 @@
                     + "\r\nConnection: close\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
             linger(socket);
         } catch (IOException e) {
-            counters.count(Counter.MANAGEMENT_REFUSED); // the caller has gone, or never finished its call
+            counters.count(Counter.MANAGEMENT_REFUSED); // the caller disconnected, or its unfinished call was closed
         } finally {
             finish(socket);
         }
     }
 
-    /** Ends the output and reads out what is left of a call that was refused: a close over it would take the answer along. */
+    /**
+     * Ends the output and reads the rest of a refused request. Closing a socket with unread input resets the connection, and the
+     * caller may lose the answer.
+     */
     private static void linger(Socket socket) {
         byte[] discarded = new byte[1_024];
         try {
             socket.shutdownOutput();
             InputStream rest = new DeadlineInputStream(socket, LINGER_MS);
             while (rest.read(discarded) >= 0) {
-                // dropped
+                // discarded
             }
         } catch (IOException e) {
-            // it has had its time, or has gone
+            // timed out or disconnected
         }
     }
 
@@ -207,7 +212,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // closing is all that was wanted
+            // the connection is discarded either way
         }
     }
 }
--- a/pooler/src/main/java/holdmux/management/Operations.java
+++ b/pooler/src/main/java/holdmux/management/Operations.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** What the operators may ask for. An order is kept and in force before its yes. */
+/** The operations available to operators. An order is stored and in force before it is confirmed. */
 public final class Operations {
     private final OperatorState state;
     private final Predicate<String> isListed;
@@ -18,8 +18,14 @@
     private final LongSupplier unixMs;
 
     /**
-     * {@code known}: whether there is a server of this name; {@code inForce} puts orders in force here, and
-     * {@code tellPeer} in the other process of this pooler, both before they return.
+     * Puts the stored orders in force.
+     *
+     * @param state the stored orders
+     * @param isListed whether discovery lists a server of this name
+     * @param ready whether this process is ready to serve
+     * @param applyOrders puts orders in force in this process before it returns
+     * @param notifyPeer has the other process of this pooler put the stored orders in force before it returns
+     * @param unixMs the current Unix time in milliseconds
      */
     public Operations(OperatorState state, Predicate<String> isListed, BooleanSupplier ready, Consumer<Orders> applyOrders,
             Runnable notifyPeer, LongSupplier unixMs) {
@@ -32,24 +38,27 @@
         applyOrders.accept(state.orders());
     }
 
+    /** Whether this process accepts requests: it is ready, and its clients are not sent away. */
     boolean ready() {
         return ready.getAsBoolean() && !state.orders().evacuated();
     }
 
-    /** False for a server that nobody has heard of. */
+    /** Stops new requests to a server; returns false if the server is unknown. */
     boolean exclude(String server) throws IOException {
         return isKnown(server) && change("server " + server + " is left out", o -> o.exclude(server, unixMs.getAsLong()));
     }
 
+    /** Undoes {@link #exclude}; returns false if the server is unknown. */
     boolean include(String server) throws IOException {
         return isKnown(server) && change("server " + server + " is put back", o -> o.include(server));
     }
 
+    /** Sends clients away, or stops doing so; always returns true. */
     boolean evacuate(boolean evacuated) throws IOException {
         return change(evacuated ? "clients are sent away" : "clients are welcome again", o -> o.evacuate(evacuated));
     }
 
-    /** Takes up what the other process of this pooler was ordered. */
+    /** Puts in force the orders that another process of this pooler has stored. */
     public synchronized void refresh() {
         applyOrders.accept(state.refresh());
     }
--- a/pooler/src/main/java/holdmux/management/OperatorState.java
+++ b/pooler/src/main/java/holdmux/management/OperatorState.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.function.UnaryOperator;
 
-/** Keeps what the operators have ordered; today one file on this machine, in time a replicated store. */
+/** Stores the operators' orders. The interface allows a replicated store in place of the file on this machine. */
 public interface OperatorState {
-    /** What is in force; as it was at the last read or change. */
+    /** The orders as of the last read or change. */
     Orders orders();
 
-    /** Reads again what is kept, which another process of this pooler may have changed. */
+    /** Reads the stored orders again; another process of this pooler may have changed them. */
     Orders refresh();
 
-    /** Changes the orders as kept now; returns once the change is kept, and throws with nothing changed. */
+    /** Updates the orders currently stored, and returns the result once it is stored; if this throws, nothing has changed. */
     Orders change(UnaryOperator<Orders> update) throws IOException;
 }
--- a/pooler/src/main/java/holdmux/management/StateFile.java
+++ b/pooler/src/main/java/holdmux/management/StateFile.java
@@ -14,17 +14,18 @@
 import org.json.JSONException;
 
 /**
- * The operators' orders in one file, written whole beside it and put in its place, so that no reader finds half of it.
- * A lock on a file of its own keeps two processes of this pooler from changing it at once.
+ * Stores the operators' orders in a file, which is replaced atomically so that readers never see a partial one. A separate lock
+ * file keeps two processes of this pooler from changing it at the same time.
  */
 public final class StateFile implements OperatorState {
-    /** Orders for a fleet of twenty take 1 KiB; this is room for thousands. */
+    /** Orders for twenty servers take 1 KiB; this is enough for thousands. */
     private static final long MAX_BYTES = 1 << 20;
 
-    /** Null where there is no folder to keep it in: then the orders last as long as the process. */
+    /** Null if there is no folder for it: the orders are then lost when the process ends. */
     private final Path file;
     private Orders orders;
 
+    /** Reads the orders from a folder; {@code folder} may be null. */
     public StateFile(Path folder) {
         file = folder == null ? null : folder.resolve("holdmux-orders.json");
         orders = read();
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Writes a file that outlives the machine's end: what is not synced may be empty behind the move. */
+    /** Writes a file and syncs it to disk: without the sync it could be empty after the rename and a crash of the machine. */
     private static void write(Path to, String text) throws IOException {
         try (FileChannel out = FileChannel.open(to, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -76,7 +77,7 @@
         }
         try {
             if (Files.size(file) > MAX_BYTES) {
-                throw new IOException("over " + MAX_BYTES + " bytes");
+                throw new IOException("file larger than " + MAX_BYTES + " bytes");
             }
             return Orders.decode(Files.readString(file));
         } catch (IOException | JSONException e) {
--- a/pooler/src/test/java/holdmux/management/ManagementServerTest.java
+++ b/pooler/src/test/java/holdmux/management/ManagementServerTest.java
@@ -28,7 +28,7 @@
 class ManagementServerTest {
     @TempDir
     Path folder;
-    private final List<Orders> inForce = new ArrayList<>();
+    private final List<Orders> applied = new ArrayList<>();
     private volatile boolean ready = true;
     private InetSocketAddress address;
 
@@ -41,11 +41,11 @@
     }
 
     private Operations operations() {
-        return new Operations(new StateFile(folder), Set.of("s-1", "s-2")::contains, () -> ready, inForce::add,
+        return new Operations(new StateFile(folder), Set.of("s-1", "s-2")::contains, () -> ready, applied::add,
                 () -> { }, () -> 5);
     }
 
-    private Socket caller() throws Exception {
+    private Socket connect() throws Exception {
         while (true) {
             try {
                 return new Socket(address.getAddress(), address.getPort());
@@ -56,7 +56,7 @@
     }
 
     private int call(String text) throws Exception {
-        try (Socket socket = caller()) {
+        try (Socket socket = connect()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return status(socket);
         }
@@ -72,29 +72,29 @@
         return call("PUT /api/" + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}");
     }
 
-    private Orders last() {
-        return inForce.get(inForce.size() - 1);
+    private Orders lastApplied() {
+        return applied.get(applied.size() - 1);
     }
 
-    /** An order is in force before its yes, may come twice, is undone by one call back, and outlives the process. */
+    /** An order is in force before it is answered, may be repeated, is undone by one call, and survives a restart. */
     @Test
-    void ordersAreInForceAndKeptBeforeTheirYes() throws Exception {
+    void ordersAreAppliedAndStoredBeforeTheirAnswer() throws Exception {
         assertEquals(200, put("exclude/s-1"));
         assertEquals(200, put("exclude/s-1"));
         assertEquals(200, put("exclude/s%2D2"));
         assertEquals(200, put("evacuate"));
-        assertEquals(Set.of("s-1", "s-2"), last().excluded().keySet());
-        operations(); // the next start
-        assertEquals(Set.of("s-1", "s-2"), last().excluded().keySet());
-        assertTrue(last().evacuated());
+        assertEquals(Set.of("s-1", "s-2"), lastApplied().excluded().keySet());
+        operations(); // as after a restart
+        assertEquals(Set.of("s-1", "s-2"), lastApplied().excluded().keySet());
+        assertTrue(lastApplied().evacuated());
         assertEquals(200, put("include/s-1"));
         assertEquals(200, put("rejoin"));
-        assertEquals(Set.of("s-2"), last().excluded().keySet());
-        assertFalse(last().evacuated());
+        assertEquals(Set.of("s-2"), lastApplied().excluded().keySet());
+        assertFalse(lastApplied().evacuated());
     }
 
     @Test
-    void readinessFollowsTheProcessAndTheOrders() throws Exception {
+    void readinessDependsOnTheProcessAndItsOrders() throws Exception {
         String call = "GET /api/ready HTTP/1.1\r\n\r\n";
         assertEquals(200, call(call));
         put("evacuate");
@@ -104,14 +104,14 @@
         assertEquals(503, call(call));
     }
 
-    /** A close over what it still sends is a reset, and took the no along. */
+    /** Closing the connection with unread input resets it, and the caller used to lose the answer. */
     @Test
-    void aNoIsHeardThoughALongBodyStandsBehindIt() throws Exception {
+    void oversizedBodyDoesNotCutOffTheAnswer() throws Exception {
         assertEquals(413, call("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 300000\r\n\r\n" + "x".repeat(300_000)));
     }
 
     @Test
-    void aCallThatIsNoneGetsItsNo() throws Exception {
+    void invalidCallsAreRejected() throws Exception {
         assertEquals(404, put("exclude/s-9"), "an unknown server");
         assertEquals(404, put("include/"));
         assertEquals(404, put("exclude"));
@@ -122,52 +122,52 @@
         assertEquals(400, call("PUT /api/evacuate\r\n\r\n"));
         assertEquals(400, call("PUT /api/%zz HTTP/1.1\r\n\r\n"));
         assertEquals(400, call("PUT /api/evacuate HTTP/1.1\r\nContent-Length: -1\r\n\r\n"));
-        assertEquals(1, inForce.size(), "only what was in force at the start");
+        assertEquals(1, applied.size(), "only the orders applied at the start");
     }
 
-    /** Callers that never finish must neither delay nor shut out the others: beyond the cap the oldest goes. */
+    /** Unfinished calls must neither delay nor block others: beyond the limit the oldest is closed. */
     @Test
-    void whoNeverFinishesACallMakesRoom() throws Exception {
+    void unfinishedCallsMakeRoomForOthers() throws Exception {
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            idle.add(caller());
+            idle.add(connect());
             idle.get(i).getOutputStream().write('P');
         }
         long start = System.nanoTime();
         assertEquals(200, call("GET /api/ready HTTP/1.1\r\n\r\n"));
         assertTrue(System.nanoTime() - start < 800_000_000L);
-        assertEquals(408, status(idle.get(19)), "the last is told in time");
+        assertEquals(408, status(idle.get(19)), "the latest is answered with a time-out");
         try {
-            assertEquals(-1, idle.get(0).getInputStream().read(), "the first was cut off");
+            assertEquals(-1, idle.get(0).getInputStream().read(), "the oldest was closed");
         } catch (SocketException e) {
-            // with its byte unread, the end is a reset
+            // its unread byte turns the close into a reset
         }
         for (Socket socket : idle) {
             socket.close();
         }
     }
 
-    /** Garbage on the wire is answered or closed, never believed. */
+    /** Garbage on the wire is rejected or the connection closed; it never applies an order. */
     @Test
-    void garbageChangesNothing() throws Exception {
+    void garbageAppliesNoOrders() throws Exception {
         Random random = new Random(7);
         for (int i = 0; i < 50; i++) {
-            byte[] noise = new byte[random.nextInt(200)];
-            random.nextBytes(noise);
-            try (Socket socket = caller()) {
-                socket.getOutputStream().write(noise);
+            byte[] garbage = new byte[random.nextInt(200)];
+            random.nextBytes(garbage);
+            try (Socket socket = connect()) {
+                socket.getOutputStream().write(garbage);
                 socket.shutdownOutput();
                 socket.getInputStream().readAllBytes();
             } catch (SocketException e) {
-                // closed with something of ours unread
+                // closed with unread input
             }
         }
-        assertEquals(1, inForce.size());
+        assertEquals(1, applied.size());
     }
 
-    /** A file that cannot be read must not keep the pooler from starting, nor orders from being given. */
+    /** An unreadable file must prevent neither the start of the pooler nor new orders. */
     @Test
-    void anUnreadableFileIsPassedOver() throws Exception {
+    void unreadableFileIsIgnored() throws Exception {
         Files.writeString(folder.resolve("holdmux-orders.json"), "{\"excluded\":{\"s-1\"");
         assertEquals(Set.of(), new StateFile(folder).orders().excluded().keySet());
         assertEquals(200, put("exclude/s-2"));
