--- a/pooler/src/main/java/holdmux/config/Caps.java
+++ b/pooler/src/main/java/holdmux/config/Caps.java
@@ -27,8 +27,9 @@
      */
     private static final int MIN_PROBE_THREADS = 40, KB_PER_PROBE_THREAD = 64;
     /**
-     * Shares of the memory limit for long messages. At 144 MB queries have 18 MB, enough for two of the longest and some shorter
-     * ones, and answers, which are streamed, have 8 MB. Larger limits add nothing, since the heap of 64 MB has no room for more.
+     * Shares of the memory limit for long messages. At 144 MB, the smallest limit so far of a deployment with long values, queries
+     * have 18 MB, enough for two of the longest and some shorter ones, and answers, which are streamed, have 8 MB. Larger limits
+     * add nothing, since the heap of 64 MB has no room for more.
      */
     private static final int QUERY_BUFFER_DIVISOR = 8, ANSWER_BUFFER_DIVISOR = 18, MAX_BUFFER_BASE_MB = 144;
     private static final int MB = 1 << 20;
