--- a/pooler/src/main/java/holdmux/pg/Answer.java
+++ b/pooler/src/main/java/holdmux/pg/Answer.java
@@ -10,15 +10,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses a server's answer as its bytes come in, up to ReadyForQuery. The messages of a served answer (RowDescription,
- * one DataRow, CommandComplete) lie together in the buffer and go on to the client as they are. A row with a long value
- * is only begun here: it passes through in pieces, and what stands behind it is parsed after that.
+ * Incremental parser for a server's answer to a simple query, up to ReadyForQuery. The messages of a served answer
+ * (RowDescription, one DataRow, CommandComplete) are contiguous in the buffer and are forwarded to the client unchanged. Of a
+ * row with a long value only the beginning is buffered: the value is streamed, and parsing resumes behind it.
  */
 final class Answer {
     private static final int NONE = -1;
-    /** Values above this stream, up to the longest there may be; some room for the messages round them. */
+    /** Longer values are streamed, up to the maximum value length plus some room for the surrounding messages. */
     private static final int MAX_BUFFERED_VALUE = 64 * 1024, MAX_VALUE = 4 * 1024 * 1024 + 1_024;
-    /** In front of a row's value: how many columns there are, and the length of the one. */
+    /** The fields of a DataRow before the value: the column count and the length of the only column. */
     private static final int ROW_PREFIX_BYTES = Short.BYTES + Integer.BYTES;
     private static final byte[] READY_FOR_QUERY = {'Z', 0, 0, 0, 5, 'I'};
 
@@ -28,7 +28,7 @@
     private int resultStart = NONE, resultEnd = NONE, valueStart, valueLength = NONE;
     private int rowCount, commandCompleteStart;
     private boolean hasRowDescription, hasCommandComplete, hasReadyForQuery, hasTrailingBytes;
-    /** Of a long row that has begun: how much of the buffer belongs to it, how much is filled, and what is to come. */
+    /** For a streamed row: where it ends in the buffer, how far the buffer is filled, and how many bytes are still to come. */
     private int streamedRowEnd, filledBytes;
     private long remainingRowBytes = NONE;
     private String sqlState;
@@ -38,7 +38,7 @@
         status = new ServerStatus(reportFormat);
     }
 
-    /** Parses what is whole of the buffer's first {@code length} bytes; true once ReadyForQuery or a long row has come. */
+    /** Parses the complete messages in the first {@code length} bytes; true once ReadyForQuery or the start of a long row is seen. */
     boolean parse(int length) throws ProtocolException {
         while (!hasReadyForQuery && !isStreaming() && length - parsedBytes >= MessageBuilder.HEADER_BYTES) {
             int size = ByteBuffer.wrap(buffer).getInt(parsedBytes + 1);
@@ -50,7 +50,7 @@
                 return true;
             }
             if (size < 4 || size > buffer.length - parsedBytes - 1) {
-                throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a message of " + size + " bytes");
+                throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "invalid message length " + size);
             }
             if (length - parsedBytes < 1 + size) {
                 return false;
@@ -62,12 +62,12 @@
         return hasReadyForQuery;
     }
 
-    /** A long row: all that must be checked of it stands in its head. */
+    /** Starts streaming a long row. Everything that has to be validated is in its prefix. */
     private void beginStreaming(int messageLength, int length) throws ProtocolException {
         ByteBuffer prefix = ByteBuffer.wrap(buffer, parsedBytes + MessageBuilder.HEADER_BYTES, ROW_PREFIX_BYTES);
         checkOrder(hasRowDescription && !hasCommandComplete && rowCount == 0 && sqlState == null);
         if (prefix.getShort() != 1 || prefix.getInt() != messageLength - Integer.BYTES - ROW_PREFIX_BYTES) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a column does not fill its row");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "column length does not match row length");
         }
         rowCount = 1;
         valueStart = parsedBytes + MessageBuilder.HEADER_BYTES + ROW_PREFIX_BYTES;
@@ -77,17 +77,20 @@
         remainingRowBytes = parsedBytes + 1 + messageLength - streamedRowEnd;
     }
 
-    /** Whether a long row has begun, so that the rest is to pass through as it comes. */
+    /** Whether a long row has begun, so that the rest has to be streamed. */
     boolean isStreaming() {
         return remainingRowBytes != NONE;
     }
 
-    /** How much of a long row has not come yet. */
+    /** Bytes of a streamed row that have not been received yet. */
     long remainingRowBytes() {
         return remainingRowBytes;
     }
 
-    /** Writes what has come of a long row, or of its value alone; what has come behind it is parsed next. */
+    /**
+     * Writes the buffered part of a streamed row, or of its value alone, and moves the bytes behind the row to the start of the
+     * buffer, where parsing resumes. Returns the number of bytes moved.
+     */
     int writeBuffered(OutputStream out, boolean withMessages) throws IOException {
         int from = withMessages ? resultStart : valueStart;
         out.write(buffer, from, streamedRowEnd - from);
@@ -98,7 +101,7 @@
         return trailing;
     }
 
-    /** Writes what stands behind a long row once all of it has come. */
+    /** Writes CommandComplete and ReadyForQuery behind a streamed row that has been received in full. */
     void writeEnd(OutputStream out) throws IOException {
         out.write(buffer, commandCompleteStart, resultEnd - commandCompleteStart);
         out.write(READY_FOR_QUERY);
@@ -125,13 +128,13 @@
             case 'S' -> parseParameterStatus(from, to);
             case 'Z' -> hasReadyForQuery = true;
             case 'I', 'N', 'R', 'K' -> { }
-            default -> throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a message of type " + (int) type);
+            default -> throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "unexpected message type " + (int) type);
         }
     }
 
     private static void checkOrder(boolean inOrder) throws ProtocolException {
         if (!inOrder) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "messages of a result out of order");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "result messages out of order");
         }
     }
 
@@ -139,16 +142,16 @@
         rowCount++;
         ByteBuffer row = ByteBuffer.wrap(buffer, from, to - from);
         if (row.remaining() < 6 || row.getShort() != 1) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a row that is not one column");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "expected a row with exactly one column");
         }
         valueLength = row.getInt();
         valueStart = row.position();
         if (valueLength < NONE || Math.max(0, valueLength) != row.remaining()) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a column does not fill its row");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "column length does not match row length");
         }
     }
 
-    /** The code field of an ErrorResponse; an error without one is an error all the same. */
+    /** The SQLSTATE of an ErrorResponse; empty, but not null, if it has none. */
     private String sqlState(int from, int to) {
         int at = from;
         while (at < to && buffer[at] != 0) {
@@ -180,37 +183,38 @@
         return from >= to ? "" : new String(buffer, from, to - from, StandardCharsets.UTF_8);
     }
 
-    /** The one column's name, as RowDescription told it. */
+    /** The name of the only column, from RowDescription. */
     String columnName() {
         int from = resultStart + MessageBuilder.HEADER_BYTES + Short.BYTES;
         return decodeText(from, findZero(from, buffer.length));
     }
 
-    /** How long the row's value is; -1 for null. */
+    /** Length of the row's value in bytes; -1 for null. */
     int valueLength() {
         return valueLength;
     }
 
-    /** Writes the value of a row that came whole. */
+    /** Writes the value of a row that is buffered in full. */
     void writeValueTo(OutputStream out) throws IOException {
         out.write(buffer, valueStart, Math.max(0, valueLength));
     }
 
-    /** Whether the answer came to its end and nothing behind it, so that its connection is free for the next request. */
+    /** Whether ReadyForQuery was received with no bytes behind it, so that the connection can be reused. */
     boolean endedCleanly() {
         return hasReadyForQuery && !hasTrailingBytes;
     }
 
-    /** Whether a whole row came with its CommandComplete, even if the connection broke after that. */
+    /** Whether one row and its CommandComplete were received, even if the connection broke after that. */
     boolean isServed() {
         return hasRowDescription && rowCount == 1 && hasCommandComplete && sqlState == null;
     }
 
+    /** The SQLSTATE of the ErrorResponse, or null if there was none. */
     String sqlState() {
         return sqlState;
     }
 
-    /** What the answer to a request means, by the protocol's table. */
+    /** Maps the answer to a request to an outcome, with the status that the server reported along with it. */
     Reply reply() {
         Outcome outcome = isServed() || isStreaming() ? Outcome.OK : sqlState == null ? Outcome.ERROR : switch (sqlState) {
             case SqlState.READ_ONLY_SQL_TRANSACTION, SqlState.SNAPSHOT_TOO_OLD -> Outcome.MISS;
@@ -220,7 +224,7 @@
         return status.toReply(outcome);
     }
 
-    /** What the answer to SHOW pressure means: the report is the row's value. */
+    /** Maps the answer to SHOW pressure to an outcome; the row's value is the load report. */
     Reply probeReply() {
         if (isServed() && valueLength >= 0) {
             status.put(ServerStatus.REPORT, decodeText(valueStart, valueStart + valueLength));
@@ -230,7 +234,7 @@
         return Reply.of(full ? Outcome.FULL : Outcome.ERROR);
     }
 
-    /** Writes the messages of a served answer and ReadyForQuery, which takes the place of what stood behind them. */
+    /** Writes the messages of a served answer followed by ReadyForQuery, which overwrites the bytes behind them in the buffer. */
     void writeTo(OutputStream out) throws IOException {
         int end = Math.min(buffer.length, resultEnd + READY_FOR_QUERY.length);
         System.arraycopy(READY_FOR_QUERY, 0, buffer, resultEnd, end - resultEnd);
--- a/pooler/src/main/java/holdmux/pg/ClientInput.java
+++ b/pooler/src/main/java/holdmux/pg/ClientInput.java
@@ -10,11 +10,11 @@
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 
-/** What a client sends: waits for ever between messages, but only so long for the rest of one that has begun. */
+/** Reads a client's messages: waits without limit between messages, but only a limited time for the rest of one that has begun. */
 final class ClientInput {
-    /** Holds a usual read of some 110 bytes whole, so that it takes one call to the system. */
+    /** Holds a typical read query (about 110 bytes) completely, so that reading it takes one system call. */
     private static final int READ_AHEAD_BYTES = 512;
-    /** What is dropped at once, and the pause behind it: 8 MiB/s, in which a flood of 1 MiB is over before it is missed. */
+    /** Bytes discarded per read and the pause after it: at 8 MiB/s, 1 MiB of unread input is gone within the linger time. */
     private static final int DISCARD_CHUNK_BYTES = 8_192, DISCARD_PAUSE_MS = 1;
 
     private final Socket socket;
@@ -22,7 +22,7 @@
     private final Clock clock;
     private final byte[] readAhead = new byte[READ_AHEAD_BYTES];
     private int readPosition, readLimit;
-    /** When what is being read must have come at the latest, and how long its peer may pause. */
+    /** When the current message must be complete, and the longest allowed gap between its bytes. */
     private long deadline, maxPauseMs;
     private boolean timeoutSet;
 
@@ -32,7 +32,7 @@
         in = socket.getInputStream();
     }
 
-    /** Waits for the next message's first byte. */
+    /** Waits without limit for the first byte of the next message. */
     int awaitFirstByte() throws IOException {
         if (readPosition == readLimit) {
             if (timeoutSet) {
@@ -49,17 +49,18 @@
         return readAhead[readPosition++] & 0xff;
     }
 
-    /** From here on all that is read must have come within this time, and the next of it always within the pause. */
+    /** Starts the limits for the current message: the total time, and the longest pause between two reads. */
     void setTimeLimits(long totalMs, long maxPauseMs) {
         deadline = clock.now() + totalMs * Clock.MS;
         this.maxPauseMs = maxPauseMs;
     }
 
-    /** Time that passed because of us, not of the peer. */
+    /** Extends the total limit by time spent waiting on this side, such as for a buffer. */
     void extendDeadline(long ns) {
         deadline += ns;
     }
 
+    /** Reads exactly {@code length} bytes. */
     void readFully(byte[] target, int length) throws IOException, ProtocolException {
         int received = 0;
         while (received < length) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Reads what there is of this much, at least a byte. */
+    /** Reads up to {@code length} bytes, at least one. */
     int readSome(byte[] target, int offset, int length) throws IOException, ProtocolException {
         int received = Math.min(length, readLimit - readPosition);
         System.arraycopy(readAhead, readPosition, target, offset, received);
@@ -75,12 +76,14 @@
         return received > 0 ? received : readFromSocket(target, offset, length);
     }
 
+    /** Reads a 32-bit integer in network byte order. */
     int readInt() throws IOException, ProtocolException {
         byte[] bytes = new byte[Integer.BYTES];
         readFully(bytes, bytes.length);
         return ByteBuffer.wrap(bytes).getInt();
     }
 
+    /** Reads and discards exactly {@code length} bytes. */
     void skip(int length) throws IOException, ProtocolException {
         int remaining = length - Math.min(length, readLimit - readPosition);
         readPosition += length - remaining;
@@ -90,7 +93,7 @@
         }
     }
 
-    /** Reads and drops what still comes, at a pace that costs others little; returns at the end of the input. */
+    /** Reads and discards input until its end, at a limited rate so that other clients are not slowed down. */
     void discardUntilEnd() throws IOException {
         readPosition = readLimit = 0;
         byte[] sink = new byte[DISCARD_CHUNK_BYTES];
@@ -105,7 +108,7 @@
         }
     }
 
-    private static int readSome(int received) throws EOFException {
+    private static int checkNotEnd(int received) throws EOFException {
         if (received < 0) {
             throw new EOFException("the client closed the connection");
         }
@@ -124,12 +127,12 @@
                 timeoutSet = true;
                 int received = in.read(target, offset, length);
                 if (!DeadlineInputStream.wasInterrupted(received)) {
-                    return readSome(received);
+                    return checkNotEnd(received);
                 }
             }
         } catch (SocketTimeoutException e) {
-            // said below
+            // reported below
         }
-        throw ProtocolException.fatal(SqlState.QUERY_CANCELED, "a message was not whole in time");
+        throw ProtocolException.fatal(SqlState.QUERY_CANCELED, "timed out waiting for the rest of a message");
     }
 }
--- a/pooler/src/main/java/holdmux/pg/ClientOutput.java
+++ b/pooler/src/main/java/holdmux/pg/ClientOutput.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What one client is told: the messages of answers and errors, written in pieces that it must take in time. */
+/** Writes messages to one client, in chunks that each have to be accepted within a time-out. */
 final class ClientOutput extends OutputStream {
-    /** Holds any of our own messages but the counters, which are some 40 bytes each. */
+    /** Capacities for the pooler's own messages, and for the statistics with about 40 bytes per counter. */
     private static final int MESSAGE_BYTES = 4_096, STATS_BYTES = 32_768;
-    /** PostgreSQL's types of plain text and of bytes, and the format codes of columns. */
+    /** PostgreSQL's type OIDs for text and bytea, and the column format codes. */
     private static final int TEXT_OID = 25, BYTEA_OID = 17, TEXT_FORMAT = 0, BINARY_FORMAT = 1;
-    /** A client must take a piece of its answer within this; then it is cut off, and the thread goes free. */
+    /** A client that does not accept a chunk within this time is disconnected, which frees the writing thread. */
     private static final int WRITE_TIMEOUT_MS = 5_000;
     private static final int CHUNK_BYTES = 16 * 1024;
 
@@ -24,7 +24,7 @@
     private final Deadlines deadlines;
     private final Runnable onTimeout;
 
-    /** {@code cutOff} ends the connection of a client that does not take what it is sent. */
+    /** {@code onTimeout} closes the connection of a client that does not accept its data in time. */
     ClientOutput(OutputStream out, Deadlines deadlines, Runnable onTimeout) {
         this.out = out;
         this.deadlines = deadlines;
@@ -48,6 +48,7 @@
         }
     }
 
+    /** Composes and writes one or more short messages. */
     void writeMessage(Consumer<MessageBuilder> composer) throws IOException {
         writeMessage(MESSAGE_BYTES, composer);
     }
@@ -58,7 +59,11 @@
         message.writeTo(this);
     }
 
-    /** {@code key}: what a CancelRequest must name, the process in its upper half. */
+    /**
+     * Writes the messages that complete a startup, from AuthenticationOk to ReadyForQuery.
+     *
+     * @param cancelKey the BackendKeyData that a CancelRequest must contain; the process ID is the upper half
+     */
     void writeGreeting(int protocolVersion, long cancelKey) throws IOException {
         writeMessage(message -> {
             if (protocolVersion != MessageBuilder.PROTOCOL_3) {
@@ -72,33 +77,34 @@
         });
     }
 
+    /** Answers an empty query. */
     void writeEmptyQuery() throws IOException {
         writeMessage(message -> message.begin('I').end().readyForQuery());
     }
 
-    /** An error behind which the connection goes on; {@code waitNs}: come again after so long, 0 for no advice. */
+    /** An error that keeps the connection open. {@code retryAfterNs}: suggested delay before a retry, 0 for none. */
     void writeError(String sqlState, String text, long retryAfterNs) throws IOException {
         String retryAfterMs = retryAfterNs <= 0 ? null : Long.toString(Clock.ceilMillis(retryAfterNs));
         writeMessage(message -> message.error(false, sqlState, text, retryAfterMs).readyForQuery());
     }
 
-    /** A value that another protocol's server gave, in this one's messages. */
+    /** Writes a value from a server of another protocol as a result with one row. */
     void writeScalar(ScalarResult result, boolean write) throws IOException {
         int length = Math.max(0, result.length());
         writeMessage(message -> message.begin('T').putShort(1).put(result.column()).put(0).putShort(0).put(BYTEA_OID)
                 .putShort(-1).put(-1).putShort(BINARY_FORMAT).end()
-                // the row's head; its value follows in pieces
+                // the DataRow up to its value, which is streamed
                 .put('D').put(2 * Integer.BYTES + Short.BYTES + length).putShort(1).put(result.length()));
         result.writeTo(this);
         writeMessage(message -> message.begin('C').put(write ? "INSERT 0 1" : "SELECT 1").end().readyForQuery());
     }
 
-    /** A write that another protocol's server carried out without a row. */
+    /** Confirms a write that a server of another protocol executed without returning a row. */
     void writeUpdateCount(long rows) throws IOException {
         writeMessage(message -> message.begin('C').put("INSERT 0 " + rows).end().readyForQuery());
     }
 
-    /** PgBouncer's SHOW STATS: the counters, a row each. */
+    /** Answers SHOW STATS, as PgBouncer has it, with one row per counter. */
     void writeStats(Counters counters) throws IOException {
         writeMessage(STATS_BYTES, message -> {
             message.begin('T').putShort(2);
--- a/pooler/src/main/java/holdmux/pg/ClientRegistry.java
+++ b/pooler/src/main/java/holdmux/pg/ClientRegistry.java
@@ -13,46 +13,47 @@
 import java.util.Set;
 
 /**
- * The open client connections, never more than a cap. Clients keep connections for good, some after one request, and
- * may open only so many; so beyond a quarter of the cap those that have rested longest are closed time and again.
- * Sessions call in here without holding their own lock.
+ * The open client connections, limited by a cap. Clients keep connections open indefinitely, some after a single request,
+ * and each client may open only a limited number; so above a quarter of the cap the connections that have been idle longest
+ * are closed by a periodic sweep. Sessions call these methods without holding their own lock.
  */
 final class ClientRegistry {
-    /** A connection may be closed once it has rested this long: the platform's figure, and some for its clock. */
+    /** An idle connection may be closed after 2 s; the extra 50 ms allow for the client's clock. */
     private static final long MIN_IDLE_NS = 2_050 * Clock.MS;
-    /** Beyond half the cap a crowd is on: whoever has asked once and rests goes after this, several times the way there
-     * and back; who has come back before is spared for longer, since its new connection would cost more than this frees. */
+    /** Idle times when crowded, that is above {@link #CROWDED_PERCENT}. A connection with one request so far is closed after
+     * several round trips; one that was used again is kept longer, since a reconnect costs more than closing it frees. */
     private static final long CROWDED_MIN_IDLE_NS = 100 * Clock.MS, CROWDED_RETURNING_MIN_IDLE_NS = 500 * Clock.MS;
-    /** How often that is looked after. */
+    /** Interval between sweeps for idle connections. */
     private static final long SWEEP_INTERVAL_NS = 50 * Clock.MS;
-    /** Part of the cap that may rest in peace: clients that ask now and then need not connect anew. */
+    /** Up to this fraction of the cap, idle connections stay open, so that clients with occasional requests need not reconnect. */
     private static final int IDLE_DIVISOR = 4;
-    /** Parts in 100 of the cap from where a crowd is on, and from where nobody is spared; clients hold at most 66 for
-     * requests. */
+    /** Percentages of the cap above which idle times are shortened, and above which reused connections lose their longer idle
+     * time; requests in progress occupy at most 66 percent. */
     private static final int CROWDED_PERCENT = 50, NEARLY_FULL_PERCENT = 60;
-    /** Clients are sent away this long after the order: the front asks ten times a second and stops 0.2 s after a no,
-     * and who is sent away sooner only comes here again. */
+    /** Delay between the order to evacuate and the first closed connection. The load balancer in front checks readiness ten times
+     * a second and stops sending clients 0.2 s after a failure; clients closed earlier would reconnect here. */
     private static final long EVACUATION_DELAY_NS = 400 * Clock.MS;
 
     private final int maxClients;
     private final OtherProcess otherProcess;
-    /** When the program ends; far away until it is told to. */
+    /** When the process shuts down; {@code Long.MAX_VALUE} until that is announced. */
     private volatile long shutdownAt = Long.MAX_VALUE;
-    /** Since when clients are sent away; far away while they are not. */
+    /** Start of the evacuation; {@code Long.MAX_VALUE} while there is none. */
     private volatile long evacuatingSince = Long.MAX_VALUE;
-    /** Whether another process takes the clients that this one ends. */
+    /** Whether another process takes over the clients whose connections are closed here. */
     private volatile boolean handingOver;
     private final Clock clock;
-    /** All that are open, at most {@link #capacity()}. */
+    /** All open sessions, at most {@link #capacity()}. */
     private final Set<ClientSession> open = new HashSet<>();
-    /** Those that have asked nothing well-formed yet, with when they came, those at rest since their first answer, and
-     * those at rest that had come back before, each oldest first; and all that ever came back. */
+    /** Sessions without a well-formed request so far, with the time of connecting; idle sessions after their first answer, and
+     * idle sessions that were used again, with the time of becoming idle. Each oldest first. */
     private final Map<ClientSession, Long> withoutRequest = new LinkedHashMap<>(), idleNew = new LinkedHashMap<>(),
             idleReturning = new LinkedHashMap<>();
+    /** All sessions that had another request after being idle. */
     private final Set<ClientSession> returning = new HashSet<>();
-    /** Those that were closed at rest and wait for their client's end. */
+    /** Sessions closed while idle that wait for the client to close its side. */
     private final Set<ClientSession> lingering = new HashSet<>();
-    /** What a CancelRequest must name to reach each session: a number and a secret, together one random figure. */
+    /** Sessions by the key that a CancelRequest must contain: process ID and secret, together one random number. */
     private final Map<Long, ClientSession> sessionsByKey = new HashMap<>();
     private final Map<ClientSession, Long> cancelKeys = new HashMap<>();
     private final SecureRandom random = new SecureRandom();
@@ -64,7 +65,7 @@
         scheduleSweep(deadlines);
     }
 
-    /** What the other process of this pooler holds is not to be had here. */
+    /** The cap minus the clients that the other process of this pooler holds during an upgrade. */
     private int capacity() {
         return Math.max(0, maxClients - otherProcess.clients());
     }
@@ -76,7 +77,7 @@
         });
     }
 
-    /** Not while the program ends: who keeps a connection then may find no other. */
+    /** Closes idle connections as needed. Does nothing during shutdown, when a closed client may find no other pooler. */
     private synchronized void sweep() {
         if (shutdownAt != Long.MAX_VALUE) {
             return;
@@ -102,11 +103,11 @@
         return open.size() - lingering.size();
     }
 
-    /** Takes in a new connection, for which others may be closed; false if there is no room. */
+    /** Registers a new connection, closing one without a request if the cap is reached; false if there is no room. */
     synchronized boolean admit(ClientSession session) {
         long now = clock.now();
         if (open.size() >= capacity()) {
-            // whoever has asked nothing that can be answered must not keep out those who ask
+            // a connection without any well-formed request must not keep out clients that have one
             List.copyOf(withoutRequest.keySet()).stream().filter(ClientSession::closeUnlessAnswering).findFirst()
                     .ifPresent(this::remove);
         }
@@ -118,7 +119,7 @@
         return true;
     }
 
-    /** How many it closed, at most so many. */
+    /** Closes up to {@code limit} sessions that have been idle since {@code cutoffNs} or longer; returns how many. */
     private int closeOldest(Map<ClientSession, Long> sessions, long cutoffNs, int limit) {
         int closed = 0;
         Iterator<Map.Entry<ClientSession, Long>> entries = sessions.entrySet().iterator();
@@ -136,8 +137,8 @@
         return closed;
     }
 
-    /** The key that this session's client is given to cancel by. */
-    synchronized long cancelKeys(ClientSession session) {
+    /** Creates the key with which this session's client can cancel queries. */
+    synchronized long issueCancelKey(ClientSession session) {
         long key = random.nextLong();
         while (sessionsByKey.containsKey(key)) {
             key = random.nextLong();
@@ -149,7 +150,7 @@
         return key;
     }
 
-    /** A CancelRequest: a key that nobody was given changes nothing. */
+    /** Handles a CancelRequest; an unknown key has no effect. */
     void cancel(int process, int secret) {
         ClientSession session;
         synchronized (this) {
@@ -160,6 +161,7 @@
         }
     }
 
+    /** Notes that a session has a well-formed request. */
     synchronized void markBusy(ClientSession session) {
         withoutRequest.remove(session);
         if (idleNew.remove(session) != null || idleReturning.remove(session) != null) {
@@ -167,6 +169,7 @@
         }
     }
 
+    /** Notes that a session has answered everything it was asked. */
     synchronized void markIdle(ClientSession session) {
         if (open.contains(session) && !withoutRequest.containsKey(session)) {
             Map<ClientSession, Long> idle = returning.contains(session) ? idleReturning : idleNew;
@@ -175,6 +178,7 @@
         }
     }
 
+    /** Forgets a closed session. */
     synchronized void remove(ClientSession session) {
         open.remove(session);
         withoutRequest.remove(session);
@@ -188,39 +192,42 @@
         }
     }
 
-    /** Sends clients away from now on, or no longer; a repeated order changes nothing. */
+    /** Starts or ends the evacuation of clients; a repeated order changes nothing. */
     void setEvacuating(boolean evacuating) {
         evacuatingSince = !evacuating ? Long.MAX_VALUE : isEvacuating() ? evacuatingSince : clock.now();
     }
 
-    /** Whether readiness is denied. */
+    /** Whether clients are being evacuated, so that readiness checks fail. */
     boolean isEvacuating() {
         return evacuatingSince != Long.MAX_VALUE;
     }
 
-    /** From now on a connection ends behind its next answer: its client finds the other process at once. */
+    /** From now on each connection is closed after its next answer; its client reconnects to the other process. */
     void handOver() {
         handingOver = true;
     }
 
-    /** Whether a connection is to end as soon as it rests. */
+    /** Whether a connection has to be closed as soon as it is idle. */
     boolean closesIdleSessions() {
         return handingOver || isEvacuating() && clock.now() - evacuatingSince >= EVACUATION_DELAY_NS;
     }
 
+    /** Sets the time of shutdown, which limits what new requests may take. */
     void announceShutdown(long delayNs) {
         shutdownAt = clock.now() + delayNs;
     }
 
-    /** How long there is for a request that comes now. */
+    /** Time until shutdown, available to a request that arrives now. */
     long timeLeftNs() {
         return shutdownAt - clock.now();
     }
 
+    /** The number of open sessions. */
     synchronized int size() {
         return open.size();
     }
 
+    /** A snapshot of the open sessions. */
     synchronized List<ClientSession> all() {
         return List.copyOf(open);
     }
--- a/pooler/src/main/java/holdmux/pg/ClientSession.java
+++ b/pooler/src/main/java/holdmux/pg/ClientSession.java
@@ -29,20 +29,21 @@
 import java.util.concurrent.RejectedExecutionException;
 
 /**
- * One client connection. Its thread only reads, and never stops before the end of the input, so that it always sees a
- * client that leaves; what came whole is answered in order on a worker thread, which is held only while there is
- * something to answer. Who answers last ends the output; the reader then drops what still comes, up to the client's own
- * end or for a short while, since a close over unread bytes would take the last answer with it (a lingering close).
+ * One client connection. Its own thread only reads, and reads until the end of the input, so that it always notices when the
+ * client disconnects. Complete commands are answered in order on a worker thread, which is occupied only while there are
+ * commands to answer. After the last answer the output is shut down, and the reader discards further input until the client
+ * closes its side or a short time has passed: closing a socket with unread input resets it, and the last answer may be lost
+ * (lingering close).
  */
 final class ClientSession implements Runnable {
-    /** What all sessions share. */
+    /** Dependencies shared by all sessions. */
     record Context(Balancer balancer, Admission admission, BufferPool buffers,
             Clock clock, Deadlines deadlines, Counters counters, Executor workers, CountDownLatch ready,
             ClientRegistry clients) {}
 
     /**
-     * What waits for its answer: a query of so many bytes, in a buffer of the pool where it is long, or what was wrong
-     * with the input. Neither is the client's farewell.
+     * A command waiting for its answer: a query, held in pooled buffers if it is long, or the error in the input. With both
+     * null it is the client's Terminate message.
      */
     private record Command(ChunkedText query, ProtocolException error) {
         int length() {
@@ -51,24 +52,24 @@
     }
 
     private static final int CANCEL_REQUEST = 80_877_102, SSL_REQUEST = 80_877_103, GSS_REQUEST = 80_877_104;
-    /** A CancelRequest is its length, its code, the process and the secret. */
+    /** A CancelRequest consists of its length, its code, the process ID and the secret key. */
     private static final int CANCEL_LENGTH = 4 * Integer.BYTES;
-    /** A startup packet is a few short names; PostgreSQL itself takes no more than this. */
+    /** Longest startup packet, as in PostgreSQL. */
     private static final int MAX_STARTUP_BYTES = 10_000;
-    /** Longer queries go to a buffer of the pool; a usual one of 1 KiB in hexadecimal is shorter. */
+    /** Longer queries use pooled buffers; a typical one, with 1 KiB of data in hexadecimal, is shorter. */
     private static final int SHORT_QUERY_BYTES = 4_096;
-    /** Bad inputs for each line of the log. */
+    /** Only one in this many bad inputs is logged. */
     private static final int BAD_INPUTS_PER_LOG_LINE = 100;
-    /** A client may take 2 s for the head of a message or pause so long within it; what hangs is owed an end within
-     * 3 s. */
+    /** Time-out for the head of a message and for a pause within one. Clients may pause for up to 2 s, and a stalled message
+     * has to be ended within 3 s. */
     private static final int MAX_PAUSE_MS = 2_600;
-    /** Whatever its pauses, a message must come at this pace after a start: who drips holds buffers for good. */
+    /** Total time-out of a message, plus its length at the minimum rate; a client that trickles bytes would hold buffers forever. */
     private static final int MESSAGE_TIMEOUT_MS = 10_000, MIN_BYTES_PER_MS = 16;
-    /** Commands that may wait on one connection behind the one that is answered, and bytes of them that are read
-     * ahead. Drivers that pipeline send a few; the caps of all clients together are a few MiB. What comes beyond is
-     * refused in its turn, up to so many commands. */
+    /** Limits on the commands and bytes queued on one connection behind the command being answered. Pipelining drivers send a
+     * few commands; the limits of all clients add up to a few MiB. Commands above the limits are refused in order, up to
+     * {@code MAX_PENDING_REFUSALS} of them. */
     private static final int MAX_QUEUED = 32, MAX_QUEUED_BYTES = 8_192, MAX_PENDING_REFUSALS = 10_000;
-    /** How long a connection whose output has ended waits for its client's end: some times the way there and back. */
+    /** How long a connection waits for the client's close after its own output is shut down: several round trips. */
     private static final long LINGER_NS = 150 * Clock.MS;
     private static final ProtocolException TOO_MANY_COMMANDS =
             ProtocolException.refused(SqlState.TOO_MANY_CONNECTIONS, "too many commands at once");
@@ -77,16 +78,17 @@
     private final Counters counters;
     private final ClientInput in;
     private final ClientOutput out;
-    /** All under this object's monitor. What waits to be answered: at most MOST_AHEAD turns, commands that came beyond
-     * what may wait, and the last word there will be. */
+    // The fields from here on are guarded by this object's monitor.
+
+    /** Commands to answer: at most MAX_QUEUED in the queue, then refusals of those above the limits, then the final command. */
     private final ArrayDeque<Command> queue = new ArrayDeque<>(2);
     private int queuedBytes, pendingRefusals;
     private Command finalCommand;
-    /** Whether a message has begun to come in, one is being answered, too many came at once, the connection is to end
-     * once all is answered, and has ended: from then on nothing that comes in is taken. */
+    /** Whether a message is being read, commands are being answered, too many commands were sent at once, the connection is to
+     * be closed when all commands are answered, and the connection has ended, after which no input is accepted. */
     private boolean reading, answering, overloaded, closing, ended;
     private Request currentRequest;
-    /** Whether its client has asked for the current request to be cancelled. */
+    /** Whether the client has cancelled the current request. */
     private boolean cancelRequested;
 
     ClientSession(Socket socket, Context context) throws IOException {
@@ -105,14 +107,14 @@
                 return;
             }
             while (readMessage()) {
-                // the next one
+                // continue with the next message
             }
             discardInput();
         } catch (ProtocolException e) {
             enqueue(new Command(null, e), true);
             discardInput();
         } catch (IOException e) {
-            abort(); // the client is gone, or was told to go
+            abort(); // disconnected by either side
         } catch (RuntimeException | Error e) {
             counters.count(Counter.INTERNAL_ERRORS);
             Log.error("a client could not be read", e);
@@ -120,23 +122,23 @@
         }
     }
 
-    /** Nothing more is taken: reads on all the same, up to the client's end. */
+    /** Reads and discards input until the client closes its side, then closes the connection. */
     private void discardInput() {
         try {
             in.discardUntilEnd();
         } catch (IOException e) {
-            // closed, by whichever side
+            // closed by either side
         }
         abort();
     }
 
-    /** Up to the first ReadyForQuery; false where the connection was for something else. */
+    /** Handles the startup phase up to the first ReadyForQuery; false if the connection carried a CancelRequest. */
     private boolean readStartup() throws IOException, ProtocolException {
         in.setTimeLimits(MAX_PAUSE_MS, MAX_PAUSE_MS);
         while (true) {
             int length = in.readInt();
             if (length < 8 || length > MAX_STARTUP_BYTES) {
-                throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a startup packet of " + length + " bytes");
+                throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "invalid startup packet length " + length);
             }
             int code = in.readInt();
             if (code == SSL_REQUEST || code == GSS_REQUEST) {
@@ -148,7 +150,7 @@
                 }
                 return false;
             } else if (code >>> 16 != 3) {
-                throw ProtocolException.fatal(SqlState.FEATURE_NOT_SUPPORTED, "protocol " + (code >>> 16));
+                throw ProtocolException.fatal(SqlState.FEATURE_NOT_SUPPORTED, "unsupported protocol version " + (code >>> 16));
             } else {
                 byte[] parameters = new byte[length - 8];
                 in.readFully(parameters, parameters.length);
@@ -160,16 +162,16 @@
 
     private void completeStartup(byte[] parameters, int protocolVersion) throws IOException, ProtocolException {
         if (!hasUser(parameters)) {
-            throw ProtocolException.fatal(SqlState.INVALID_AUTHORIZATION, "the startup packet names no user");
+            throw ProtocolException.fatal(SqlState.INVALID_AUTHORIZATION, "no user name in startup packet");
         }
-        out.writeGreeting(protocolVersion, context.clients().cancelKeys(this));
+        out.writeGreeting(protocolVersion, context.clients().issueCancelKey(this));
     }
 
     private static boolean hasUser(byte[] parameters) throws ProtocolException {
         String[] parts = new String(parameters, StandardCharsets.UTF_8).split("\0", -1);
-        // name, value, name, value ... and a lone zero at the end
+        // pairs of zero-terminated names and values, then one more zero
         if (parameters.length == 0 || parameters[parameters.length - 1] != 0 || parts.length % 2 != 0) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a startup packet of odd parts");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "malformed startup parameters");
         }
         for (int i = 0; i + 1 < parts.length; i += 2) {
             if (parts[i].equals("user") && !parts[i + 1].isEmpty()) {
@@ -179,7 +181,7 @@
         return false;
     }
 
-    /** Reads one message; false if no more are wanted. */
+    /** Reads one message; false if no further message is to be read. */
     private boolean readMessage() throws IOException, ProtocolException {
         int type = in.awaitFirstByte();
         if (!beginMessage()) {
@@ -188,9 +190,9 @@
         in.setTimeLimits(MAX_PAUSE_MS, MAX_PAUSE_MS);
         int length = in.readInt() - Integer.BYTES;
         if (length < 0) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a message of " + length + " bytes");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "invalid message length " + length);
         } else if (length > Math.min(Statement.MAX_BYTES, context.buffers().maxMessageBytes())) {
-            throw ProtocolException.fatal(SqlState.PROGRAM_LIMIT_EXCEEDED, "a message of " + length + " bytes");
+            throw ProtocolException.fatal(SqlState.PROGRAM_LIMIT_EXCEEDED, "message of " + length + " bytes is too long");
         }
         switch (type) {
             case 'Q' -> {
@@ -207,19 +209,19 @@
                 return false;
             }
             case 'P', 'B', 'D', 'E', 'C', 'H', 'S', 'F', 'd', 'c', 'f', 'p' -> throw ProtocolException.fatal(
-                    SqlState.FEATURE_NOT_SUPPORTED, "only simple queries are served here");
-            default -> throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a message of type " + type);
+                    SqlState.FEATURE_NOT_SUPPORTED, "only the simple query protocol is supported");
+            default -> throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "unexpected message type " + type);
         }
         return true;
     }
 
-    /** Whether one more command may wait; behind one that is refused all are, up to where nothing waits. */
+    /** Whether another command can be queued. Once one is refused, all are until the queue is empty. */
     private synchronized boolean canQueue() {
         overloaded |= queue.size() >= MAX_QUEUED;
         return pendingRefusals == 0 && !overloaded && queuedBytes <= MAX_QUEUED_BYTES;
     }
 
-    /** A command that was not taken in: its refusal comes in its turn. */
+    /** Notes a command that was not queued; it is refused in order, after the queued ones. */
     private void enqueueRefusal() throws ProtocolException {
         synchronized (this) {
             if (pendingRefusals == MAX_PENDING_REFUSALS) {
@@ -231,7 +233,7 @@
         scheduleAnswering();
     }
 
-    /** Reads the body of a query; a long one into buffers of the pool, as its bytes come and the pool has room. */
+    /** Reads the body of a query; a long one into pooled buffers, each acquired when its first bytes are expected. */
     private Command readQuery(int length) throws IOException, ProtocolException {
         in.setTimeLimits(MESSAGE_TIMEOUT_MS + length / MIN_BYTES_PER_MS, MAX_PAUSE_MS);
         if (length <= SHORT_QUERY_BYTES) {
@@ -262,12 +264,12 @@
         }
     }
 
-    /** Puts a turn behind those that wait, the {@code end} of all behind what is refused, and sees that someone answers. */
+    /** Queues a command, or the final one behind all others and all refusals, and makes sure that a worker answers it. */
     private void enqueue(Command command, boolean isFinal) {
         synchronized (this) {
             reading = false;
             if (ended) {
-                release(command); // too late: the output has ended, and nothing is sent on
+                release(command); // the output is shut down, so the command must not be forwarded
                 return;
             }
             if (isFinal) {
@@ -280,6 +282,7 @@
         scheduleAnswering();
     }
 
+    /** Starts answering on a worker thread unless one does so already. */
     private void scheduleAnswering() {
         synchronized (this) {
             if (answering) {
@@ -290,7 +293,7 @@
         try {
             context.workers().execute(this::answerQueued);
         } catch (RejectedExecutionException e) {
-            // no thread to be had: this one must go on reading, so it refuses what waits, and waits for nothing itself
+            // no worker available: the reader refuses the queued commands itself, which does not block it
             synchronized (this) {
                 overloaded = true;
             }
@@ -298,13 +301,13 @@
         }
     }
 
-    /** Answers what waits, in order, until nothing does. */
+    /** Answers the queued commands in order until there are none. */
     private void answerQueued() {
         for (Command command = nextCommand(); command != null; command = nextCommand()) {
             try {
                 answer(command);
             } catch (IOException e) {
-                abort(); // nobody is left to be told
+                abort(); // the client can no longer be reached
             } catch (RuntimeException | Error e) {
                 counters.count(Counter.INTERNAL_ERRORS);
                 Log.error("an answer failed here", e);
@@ -315,7 +318,7 @@
         }
     }
 
-    /** The next turn to answer, or null; then the connection rests, or ends if it was to. */
+    /** The next command to answer, or null; then the connection is idle, or is closed if that was requested. */
     private Command nextCommand() {
         boolean endNow;
         synchronized (this) {
@@ -389,12 +392,12 @@
         ChunkedText query = command.query();
         int end = command.length() - 1;
         if (end < 0 || query.byteAt(end) != 0) {
-            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "a query that does not end in a zero");
+            throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "query is not zero-terminated");
         }
         if (isBlank(query, end)) {
             context.clients().markBusy(this);
             if (context.clients().isEvacuating()) {
-                out.writeError(SqlState.CANNOT_CONNECT_NOW, "this pooler sends its clients away", 0);
+                out.writeError(SqlState.CANNOT_CONNECT_NOW, "this pooler is being evacuated", 0);
                 return;
             }
             awaitReady();
@@ -411,16 +414,16 @@
                 out.writeError(SqlState.CANNOT_CONNECT_NOW, refusal.reason(), refusal.retryAfterNs());
                 return;
             }
-            Request.Spec call = context.admission().admit(statement, context.clients().timeLeftNs());
+            Request.Spec spec = context.admission().admit(statement, context.clients().timeLeftNs());
             context.clients().markBusy(this);
             long timeLeftNs = context.clients().timeLeftNs();
             if (timeLeftNs <= 0 || timeLeftNs < Admission.remainingWaitNs(statement) && statement.write) {
-                // it could not be told in time how the request ended; another pooler can take it
+                // the outcome could not be reported before the shutdown; another pooler can take the request
                 closeAfterQueue();
                 out.writeError(SqlState.CANNOT_CONNECT_NOW, "this pooler is about to end", 0);
                 return;
             }
-            Request request = context.balancer().openRequest(call);
+            Request request = context.balancer().openRequest(spec);
             if (!startRequest(request)) {
                 context.balancer().clientLeft(request);
             }
@@ -433,13 +436,13 @@
         }
     }
 
-    /** Notes the request that is under way; false if the client has left. */
+    /** Notes the request in progress; false if the client has disconnected. */
     private synchronized boolean startRequest(Request request) {
         currentRequest = request;
         return !ended;
     }
 
-    /** No request is under way any more; whether the client had this one cancelled, and is still there. */
+    /** Notes that the request has ended; whether its client cancelled it and is still connected. */
     private synchronized boolean finishRequest() {
         boolean wasCancelled = cancelRequested;
         currentRequest = null;
@@ -447,7 +450,7 @@
         return wasCancelled && !ended;
     }
 
-    /** PostgreSQL's CancelRequest: takes back the request that is under way, if any; the connection lives on. */
+    /** Handles a CancelRequest: cancels the request in progress, if any, and keeps the connection open. */
     void cancel() {
         Request request;
         synchronized (this) {
@@ -468,7 +471,7 @@
     }
 
     private static boolean isShowStats(ChunkedText query, int end) {
-        // 32 bytes hold the command with room for blanks; longer ones are statements
+        // 32 bytes hold the command and some white space; longer queries are statements
         return end < 32 && query.substring(0, end).strip().toUpperCase(Locale.ROOT)
                 .matches("SHOW STATS\\s*;?");
     }
@@ -482,10 +485,10 @@
         return true;
     }
 
-    /** The PostgreSQL side of one request. */
+    /** Writes the answer to one request as PostgreSQL messages. */
     private final class PgResponder implements Responder {
         private final Statement statement;
-        /** Whether the one final answer has begun. */
+        /** Whether the only answer to the request has been started. */
         private boolean answered;
 
         PgResponder(Statement statement) {
@@ -512,7 +515,7 @@
                     out.writeScalar((ScalarResult) result, statement.write);
                 }
             } catch (IOException e) {
-                abort(); // what is cut short shows as that
+                abort(); // the client has to see that the answer is incomplete
                 throw e;
             }
         }
@@ -530,7 +533,7 @@
         }
     }
 
-    /** Counts and answers bad input; the log has the first and then one in some, so that no flood fills it. */
+    /** Counts and answers bad input; logs only one in {@link #BAD_INPUTS_PER_LOG_LINE}, so that a flood cannot fill the log. */
     private void rejectInput(ProtocolException e) throws IOException {
         boolean overCapacity = e.sqlState.equals(SqlState.TOO_MANY_CONNECTIONS);
         counters.count(overCapacity ? Counter.OVER_CAPACITY : Counter.BAD_INPUT);
@@ -548,15 +551,15 @@
         });
     }
 
-    /** A message has begun; false if the connection has ended, so that it is none. */
+    /** Notes the start of a message; false if the connection has ended and the message must be ignored. */
     private synchronized boolean beginMessage() {
         reading = !ended;
         return reading;
     }
 
     /**
-     * Ends a connection that was marked as ended with nothing reading or answering on it: first the output alone. What
-     * its client sends meanwhile is never taken, and it asks again elsewhere.
+     * Closes a connection marked as ended on which nothing is being read or answered: first the output alone. Input that
+     * arrives meanwhile is never accepted, and the client sends it again on another connection.
      */
     private void closeGracefully() {
         try {
@@ -567,7 +570,7 @@
         }
     }
 
-    /** The client has gone away: what it asked for is nobody's any more. */
+    /** Closes the connection at once; cancels the request in progress and discards the queued commands. */
     private void abort() {
         Request request;
         List<Command> discarded;
@@ -587,13 +590,13 @@
         close();
     }
 
-    /** Ends the connection as soon as nothing is being answered on it. */
+    /** Closes the connection as soon as it is idle. */
     void closeWhenIdle() {
         closeAfterQueue();
         closeIfIdle();
     }
 
-    /** Ends the connection if nothing is coming in or being answered on it; whether it does. */
+    /** Closes the connection if no message is being read or answered on it; whether it was closed. */
     boolean closeIfIdle() {
         synchronized (this) {
             if (reading || answering || ended) {
@@ -605,18 +608,19 @@
         return true;
     }
 
-    /** Closes the connection of a client that has asked nothing well-formed; false if it is being told so. */
+    /** Closes the connection of a client without a well-formed request; false while an error is being reported to it. */
     boolean closeUnlessAnswering() {
         synchronized (this) {
             if (answering) {
                 return false;
             }
-            ended = true; // half a message at most: nothing was taken, and nothing is from now on
+            ended = true; // at most part of a message was read; no input is accepted from now on
         }
         close();
         return true;
     }
 
+    /** Closes the socket and removes the session from the registry. */
     void close() {
         try {
             if (!socket.isClosed()) {
@@ -624,7 +628,7 @@
             }
             socket.close();
         } catch (IOException e) {
-            // closing is all that was wanted
+            // nothing left to release
         }
         context.clients().remove(this);
     }
--- a/pooler/src/main/java/holdmux/pg/JitWarmUp.java
+++ b/pooler/src/main/java/holdmux/pg/JitWarmUp.java
@@ -24,18 +24,19 @@
 import java.util.List;
 
 /**
- * Runs the parsers and a module of its own over made-up input before the first client comes. A virtual machine starts
- * with cold code: on half a core the requests of its first second came too late. Touches no socket and no server.
+ * Runs the parsers and a separate decision module on synthetic input before the first client is accepted, so that the JIT
+ * compiler has seen the hot code: with cold code on half a core, requests in the first second missed their deadlines. Uses no
+ * socket and no server.
  */
 final class JitWarmUp {
-    /** The first compiler tier takes a method up after 200 calls, a loop after some thousand turns. */
+    /** The first JIT tier compiles a method after 200 calls and a loop after a few thousand iterations. */
     private static final int ITERATIONS = 1_500;
     private static final long MS = 1_000_000L;
     private static final int GROUP = 0, SERVERS = 5;
 
     private JitWarmUp() {}
 
-    /** Returns what was sent and parsed, so that none of it is idle work to the compiler. */
+    /** Returns the number of answers parsed and requests sent, so that the compiler cannot eliminate the work as dead code. */
     static int run(Deployment deployment) throws ProtocolException, StatementException {
         return warmUpParsers(deployment) + warmUpModule(deployment);
     }
--- a/pooler/src/main/java/holdmux/pg/Listener.java
+++ b/pooler/src/main/java/holdmux/pg/Listener.java
@@ -18,16 +18,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Accepts clients; at the cap each further one is refused at once. */
+/** Accepts clients; connections above the cap are rejected immediately. */
 final class Listener {
-    /** Clients come in bursts after a restart; the kernel holds them until accepted. */
+    /** Clients connect in bursts after a restart; the kernel queues them until they are accepted. */
     private static final int BACKLOG = 512;
 
-    /** How often the listener looks whether it is to stop. */
+    /** How often the listener checks whether to stop; also the pause after a failed accept. */
     private static final int STOP_POLL_MS = 20;
-    /** Nobody came for so long: the kernel's queue is empty. A crowd that never leaves it so is not waited out. */
+    /** When stopping: an accept time-out that shows the kernel's queue to be empty, and the limit for emptying it. */
     private static final int FINAL_ACCEPT_MS = 1, MAX_FINAL_ACCEPTS_MS = 200;
-    /** Who is turned away has sent its startup by then, or what it sent takes our word with it; so many at most. */
+    /** How long a rejected connection stays open to receive the client's startup packet, since closing with unread input resets
+     * the connection and loses the error message; how many do so at a time, and how much input each discards. */
     private static final long LINGER_NS = 100 * Clock.MS;
     private static final int MAX_LINGERING = 16, MAX_DISCARDED_BYTES = 64 * 1024;
 
@@ -39,31 +40,32 @@
     private final AtomicInteger lingeringSockets = new AtomicInteger();
     private volatile boolean stopping;
 
-    /** {@code threads} read from clients, one each; kept for the next, since in a crowd most stay a moment only. */
+    /** {@code executor} provides a thread per client; it should reuse threads, since in a burst most clients stay only briefly. */
     Listener(InetSocketAddress address, ClientSession.Context context, Executor executor) throws IOException {
         this.executor = executor;
         this.address = address;
         this.context = context;
-        StartupRetry.run("a listening socket cannot be made", () -> serverSocket.setReuseAddress(true));
-        StartupRetry.run("a listening socket cannot be set up", () -> serverSocket.setSoTimeout(STOP_POLL_MS));
+        StartupRetry.run("cannot create a listening socket", () -> serverSocket.setReuseAddress(true));
+        StartupRetry.run("cannot configure a listening socket", () -> serverSocket.setSoTimeout(STOP_POLL_MS));
         enableReusePort();
     }
 
-    /** A newer process listens beside this one while it takes over; where that cannot be had, the rest works all the same. */
+    /** Lets a newer process listen on the same address during an upgrade. If this fails, only upgrades in place are impossible. */
     private void enableReusePort() {
         try {
             serverSocket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } catch (IOException | UnsupportedOperationException e) {
-            // the virtual machine tries it once, at its start: one failed system call there denies it for good
+            // the JVM probes for the option once; a system call that fails then disables it for the life of the process
             Log.warn("no other process can listen beside this one, so that it cannot be upgraded in place: " + e.getMessage());
         }
     }
 
+    /** Binds the socket; from then on the kernel queues connections. */
     void listen() throws IOException {
         StartupRetry.run("cannot listen at " + address, () -> serverSocket.bind(address, BACKLOG));
     }
 
-    /** Accepts until it is to stop, and then what had come before: closing would turn that away unheard. */
+    /** Accepts clients until stopped, then those still in the kernel's queue, which closing the socket would reset. */
     void run() throws IOException {
         while (!stopping) {
             acceptOne();
@@ -72,14 +74,14 @@
             serverSocket.setSoTimeout(FINAL_ACCEPT_MS);
             long deadline = System.nanoTime() + MAX_FINAL_ACCEPTS_MS * Clock.MS;
             while (acceptOne() && System.nanoTime() < deadline) {
-                // the next one
+                // continue with the next client
             }
         } finally {
             closed.countDown();
         }
     }
 
-    /** False if nobody came. */
+    /** Accepts one client; false if none connected in time. */
     private boolean acceptOne() {
         try {
             accept(serverSocket.accept());
@@ -87,10 +89,10 @@
             return false;
         } catch (IOException e) {
             Log.error("a client could not be accepted", e);
-            pause(); // where no descriptor is left the next one fails as well
-        } catch (RuntimeException | Error e) { // nobody else would accept the next client
+            pause(); // when out of file descriptors, the next accept would fail as well
+        } catch (RuntimeException | Error e) { // this is the only accepting thread
             context.counters().count(Counter.INTERNAL_ERRORS);
-            Log.error("a client could not be accepted, by a fault here", e);
+            Log.error("a client could not be accepted because of an internal error", e);
             pause();
         }
         return true;
@@ -110,7 +112,7 @@
             socket.setTcpNoDelay(true);
             session = new ClientSession(socket, context);
         } catch (IOException e) {
-            socket.close(); // it has left already
+            socket.close(); // already disconnected
             return;
         }
         if (!context.clients().admit(session)) {
@@ -121,13 +123,13 @@
         try {
             executor.execute(session);
         } catch (RejectedExecutionException e) {
-            // no thread to be had: this client is turned away, the others stay
+            // no thread available: only this client is rejected
             context.clients().remove(session);
             reject(socket);
         }
     }
 
-    /** A word and the end of the output; the connection is closed a little later, with nothing of it unread. */
+    /** Sends an error and shuts the output down; the connection is closed a little later, when its input has been read. */
     private void reject(Socket socket) {
         context.counters().count(Counter.CLIENTS_TURNED_AWAY);
         try {
@@ -135,7 +137,7 @@
                     .writeTo(socket.getOutputStream());
             socket.shutdownOutput();
         } catch (IOException e) {
-            // it left by itself
+            // the client has disconnected
         }
         if (lingeringSockets.incrementAndGet() > MAX_LINGERING) {
             closeLingering(socket);
@@ -144,6 +146,7 @@
         }
     }
 
+    /** Discards the input received so far and closes the connection. */
     private void closeLingering(Socket socket) {
         lingeringSockets.decrementAndGet();
         try (socket; InputStream in = socket.getInputStream()) {
@@ -152,24 +155,27 @@
                 remaining -= Math.max(1, in.read(sink));
             }
         } catch (IOException e) {
-            // it left by itself
+            // the client has disconnected
         }
     }
 
+    /** Tells the clients' sessions when the process will shut down. */
     void announceShutdown(long delayNs) {
         context.clients().announceShutdown(delayNs);
     }
 
-    /** Returns once the listener is closed. */
+    /** Stops accepting; returns when the listener is closed, or after twice the time it may take. */
     void stopAccepting() throws InterruptedException {
         stopping = true;
         closed.await(2 * MAX_FINAL_ACCEPTS_MS, TimeUnit.MILLISECONDS);
     }
 
+    /** Closes each client connection as soon as it is idle. */
     void closeWhenIdle() {
         context.clients().all().forEach(ClientSession::closeWhenIdle);
     }
 
+    /** The number of open client connections. */
     int openClients() {
         return context.clients().size();
     }
--- a/pooler/src/main/java/holdmux/pg/PgFront.java
+++ b/pooler/src/main/java/holdmux/pg/PgFront.java
@@ -13,9 +13,9 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 
-/** The PostgreSQL front: its listener and its clients. */
+/** The PostgreSQL front: its listener and its client sessions. */
 public final class PgFront implements Front {
-    /** Threads beyond the cap of clients: those that have just left, and are not done yet. */
+    /** Threads above the cap of clients, for those that have disconnected but whose thread has not ended yet. */
     private static final int CLOSING_CLIENT_THREADS = 16;
 
     private final Listener listener;
@@ -23,6 +23,7 @@
     private final Deployment deployment;
     private volatile boolean serving;
 
+    /** Creates the front; {@code ready} is released once requests can be served, which readiness checks wait for. */
     public PgFront(Services services, CountDownLatch ready) throws IOException {
         Config config = services.config();
         Caps caps = config.caps();
@@ -39,7 +40,7 @@
         listener.listen();
     }
 
-    /** Makes the code warm that the first requests need. */
+    /** Warms up the code that the first requests need; a failure is logged only. */
     public void warmUp() {
         try {
             JitWarmUp.run(deployment);
--- a/pooler/src/main/java/holdmux/pg/PgResult.java
+++ b/pooler/src/main/java/holdmux/pg/PgResult.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** A served answer of a PostgreSQL server; to a client of the same protocol its messages pass on as they came. */
+/** A served answer from a PostgreSQL server; its messages are forwarded unchanged to clients of the same protocol. */
 final class PgResult implements ScalarResult {
     private final Answer answer;
     private final ServerPool servers;
@@ -14,12 +14,12 @@
         this.servers = servers;
     }
 
-    /** Whether it comes in pieces. */
+    /** Whether the value is streamed from the server instead of being buffered. */
     boolean isStreamed() {
         return answer.isStreaming();
     }
 
-    /** Passes on the messages, ReadyForQuery with them. */
+    /** Forwards the messages, including ReadyForQuery. */
     void relayTo(OutputStream out) throws IOException {
         if (answer.isStreaming()) {
             servers.relay(answer, out, true);
--- a/pooler/src/main/java/holdmux/pg/PgUpstream.java
+++ b/pooler/src/main/java/holdmux/pg/PgUpstream.java
@@ -22,15 +22,16 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** The servers that speak PostgreSQL's protocol: attempts and probes as its messages. */
+/** Executes attempts and probes on servers that speak the PostgreSQL protocol. */
 public final class PgUpstream implements Upstream {
     private static final byte[] PROBE_QUERY = "SHOW pressure".getBytes(StandardCharsets.US_ASCII);
 
     private final ServerPool servers;
 
+    /** Creates the upstream with a connection pool and buffers of its own. */
     public PgUpstream(Caps caps, ServerRegistry registry, Clock clock, Deadlines deadlines, Counters counters,
             Supplier<Deployment> deployment, OtherProcess otherProcess, ServerSlots slots) {
-        // buffers apart from the clients', so that slow clients cannot starve the servers' side
+        // a buffer pool separate from the clients', so that slow clients cannot starve the server side
         servers = new ServerPool(registry, clock, deadlines, counters,
                 new BufferPool(caps.answerBytes(), BufferPool.BUFFER_SIZE, otherProcess::present), deployment, slots);
     }
@@ -54,12 +55,12 @@
     @Override
     public Reply probe(Attempt attempt) {
         return servers.exchange(attempt, queryMessage(List.of(ByteBuffer.wrap(PROBE_QUERY))), Counter.PROBES_WITHHELD, answer -> {
-            servers.releaseAnswer(answer); // an endless one goes with its connection: no report is that long
+            servers.releaseAnswer(answer); // closes the connection of a streamed answer, which is too long for a report
             return answer.probeReply();
         });
     }
 
-    /** The message of a simple query with this text. */
+    /** Encodes a Query message with this text. */
     static List<ByteBuffer> queryMessage(List<ByteBuffer> text) {
         int length = Integer.BYTES + text.stream().mapToInt(ByteBuffer::remaining).sum() + 1;
         List<ByteBuffer> parts = new ArrayList<>();
--- a/pooler/src/main/java/holdmux/pg/ProtocolException.java
+++ b/pooler/src/main/java/holdmux/pg/ProtocolException.java
@@ -2,11 +2,11 @@
 
 import holdmux.statement.StatementException;
 
-/** Input that breaks the protocol; carries the SQLSTATE of the ErrorResponse that it deserves. */
+/** Input that violates the protocol or is refused; carries the SQLSTATE of the ErrorResponse to send. */
 final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Whether the framing still holds, so that the connection can go on after the ErrorResponse. */
+    /** Whether the message framing is intact, so that the connection can continue after the ErrorResponse. */
     final boolean framingIntact;
     final String sqlState;
 
@@ -16,17 +16,17 @@
         this.sqlState = sqlState;
     }
 
-    /** A statement that is refused; the connection goes on. */
+    /** An invalid statement; the connection stays open. */
     static ProtocolException rejected(StatementException e) {
         return new ProtocolException(true, e.sqlState, e.getMessage());
     }
 
-    /** A command that is refused whatever it says; the connection goes on. */
+    /** A command refused regardless of its content; the connection stays open. */
     static ProtocolException refused(String sqlState, String message) {
         return new ProtocolException(true, sqlState, message);
     }
 
-    /** The framing is lost or the peer is no client of ours; the connection ends. */
+    /** The framing is lost or the peer uses an unsupported protocol; the connection is closed. */
     static ProtocolException fatal(String sqlState, String message) {
         return new ProtocolException(false, sqlState, message);
     }
--- a/pooler/src/main/java/holdmux/pg/ServerConnection.java
+++ b/pooler/src/main/java/holdmux/pg/ServerConnection.java
@@ -18,49 +18,51 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One connection to a server: blocking, one request at a time. A channel rather than a Socket, because only a
- * channel can be looked into without waiting; there is no selector.
+ * One blocking connection to a server, for one request at a time. It uses a channel instead of a Socket, since only a channel
+ * can be checked for input without blocking; there is no selector.
  */
 final class ServerConnection implements Closeable, IdleConnections.Connection {
-    /** A server that gives nothing more of a long answer for so long has vanished. */
+    /** A server that sends no more of a long answer for this time is considered dead. */
     private static final long STALL_TIMEOUT_NS = 1_500 * Clock.MS;
-    /** Once the request's time is nearly over: the client must be able to tell within half a second of it. */
+    /** Near the request's deadline the stall time-out is shorter: the client must see the failure within 0.5 s of the deadline. */
     private static final long LATE_GRACE_NS = 400 * Clock.MS, MIN_STALL_TIMEOUT_NS = 500 * Clock.MS;
 
-    /** What stands behind a served row or an error comes in the same write; where it stops short there, it never comes. */
+    /** Servers send the messages behind a result or an error in the same write; if they are late by this, they never come. */
     private static final long TRAILER_TIMEOUT_NS = 50 * Clock.MS;
 
-    private final long store;
+    private final long serverId;
     private final InetSocketAddress address;
     private final SocketChannel channel;
     private final BufferPool buffers;
 
-    /** A connection yet to be opened. */
+    /** Creates a connection that is not opened yet. */
     ServerConnection(long serverId, InetSocketAddress address, BufferPool buffers) throws IOException {
-        this.store = serverId;
+        this.serverId = serverId;
         this.address = address;
         this.buffers = buffers;
         channel = SocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
-            close(); // its descriptor would be lost
+            close(); // otherwise the file descriptor would leak
             throw e;
         }
     }
 
     /**
-     * Opens the connection, waiting at most this long (nanoseconds, rounded up to a whole millisecond); a
-     * {@link java.net.SocketTimeoutException} past it. The connecting thread keeps the bound itself: on the fleet's days
-     * a close from another thread does not end a connect that a silent server never takes up.
+     * Opens the connection. The connecting thread enforces the time-out itself, since closing the channel from another thread
+     * does not always interrupt a connect that the server never answers.
+     *
+     * @param waitNs the time-out, rounded up to a whole millisecond
+     * @throws java.net.SocketTimeoutException if the time-out has expired
      */
     void connect(long waitNs) throws IOException {
         channel.socket().connect(address, (int) Math.max(1, Math.min(Integer.MAX_VALUE, Clock.ceilMillis(waitNs))));
     }
 
     /**
-     * Writes these bytes, a usual query of them in one go, if {@code stands} says so right before; whether it did, once the
-     * last byte is written. A buffer may be waited for, and is there before that is asked.
+     * Writes a message if {@code mayWrite}, checked immediately before, permits it; returns whether it was written completely. A
+     * message that fits a buffer is written in one call. Acquiring the buffer may take time, so it comes before the check.
      */
     boolean send(List<ByteBuffer> parts, BooleanSupplier mayWrite) throws IOException {
         int length = parts.stream().mapToInt(ByteBuffer::remaining).sum();
@@ -92,9 +94,9 @@
     }
 
     /**
-     * Reads a whole answer, or one up to where a long row has begun; no buffer is held before its first bytes come. The
-     * answer keeps its buffer, which the caller gives back. If the connection breaks or falls silent behind a served row or
-     * an error, that stands all the same.
+     * Reads a complete answer, or one up to the beginning of a long row. The buffer is acquired when the first bytes have
+     * arrived; it stays with the answer, and the caller has to release it. If the connection breaks or stalls behind a served
+     * row or an error, the answer is valid nevertheless.
      */
     Answer receive(ServerStatus.ReportFormat reportFormat, Deadlines deadlines) throws IOException, ProtocolException {
         byte[] header = new byte[MessageBuilder.HEADER_BYTES];
@@ -106,7 +108,7 @@
             ByteBuffer in = ByteBuffer.wrap(answer.buffer).put(header, 0, Math.max(0, got));
             while (got >= 0 && !answer.parse(in.position())) {
                 if (!in.hasRemaining()) {
-                    throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "an answer without end");
+                    throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "answer exceeds the buffer");
                 }
                 if (trailerDeadline == null && (answer.isServed() || answer.sqlState() != null)) {
                     trailerDeadline = deadlines.after(TRAILER_TIMEOUT_NS, this::close);
@@ -134,8 +136,10 @@
     }
 
     /**
-     * Passes an answer whose long row has begun on to its end, or its value alone, as it comes, through its one buffer;
-     * {@code by}: the end of the request's time on the {@link Clock}.
+     * Streams the rest of an answer whose long row has begun, or of its value alone, through the answer's buffer.
+     *
+     * @param withMessages whether to write the complete messages or only the value
+     * @param deadlineNs the request's deadline on the {@link Clock}
      */
     void relay(Answer answer, OutputStream out, boolean withMessages, Deadlines deadlines, long deadlineNs)
             throws IOException, ProtocolException {
@@ -152,20 +156,21 @@
             read(in, deadlines, deadlineNs);
         }
         if (!answer.isServed()) {
-            throw new IOException("the server broke a long answer off");
+            throw new IOException("the server ended a long answer early");
         }
         if (withMessages) {
             answer.writeEnd(out);
         }
     }
 
-    /** Some more of an answer that has begun; only silence ends it, however long it takes, but sooner when it is late. */
+    /** Reads more of a streamed answer. There is no limit on its total time, only on a stall, which is shorter near the deadline. */
     private void read(ByteBuffer in, Deadlines deadlines, long deadlineNs) throws IOException {
         long remainingNs = deadlineNs + LATE_GRACE_NS - deadlines.now();
-        Deadlines.Deadline stallDeadline = deadlines.after(Math.max(MIN_STALL_TIMEOUT_NS, Math.min(STALL_TIMEOUT_NS, remainingNs)), this::close);
+        Deadlines.Deadline stallDeadline = deadlines.after(
+                Math.max(MIN_STALL_TIMEOUT_NS, Math.min(STALL_TIMEOUT_NS, remainingNs)), this::close);
         try {
             if (channel.read(in) <= 0) {
-                throw new EOFException("the server closed the connection within a long answer");
+                throw new EOFException("the server closed the connection during a long answer");
             }
         } finally {
             deadlines.cancel(stallDeadline);
@@ -174,7 +179,7 @@
 
     @Override
     public long serverId() {
-        return store;
+        return serverId;
     }
 
     @Override
@@ -199,7 +204,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // closing is all that was wanted
+            // nothing left to release
         }
     }
 }
--- a/pooler/src/main/java/holdmux/pg/ServerPool.java
+++ b/pooler/src/main/java/holdmux/pg/ServerPool.java
@@ -25,9 +25,9 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** Talks to servers, one request at a time on a connection; keeps connections while idle. */
+/** Exchanges messages with servers, one request at a time on a connection; keeps idle connections for reuse. */
 final class ServerPool {
-    /** Holds a startup packet. */
+    /** Capacity for a startup packet. */
     private static final int STARTUP_BYTES = 128;
 
     private final ServerRegistry registry;
@@ -39,10 +39,10 @@
     private final ServerStatus.ReportFormat reportFormat;
     private final ServerSlots slots;
     private final IdleConnections<ServerConnection> idle;
-    /** Connections of answers that have begun and are still to be passed on. */
+    /** Connections of long answers that are still to be streamed. */
     private final Map<Answer, OpenStream> openStreams = new ConcurrentHashMap<>();
 
-    /** {@code by}: the end of the attempt's time. */
+    /** A connection in the middle of a long answer, and the attempt's deadline. */
     private record OpenStream(ServerConnection connection, long deadlineNs) {}
 
     ServerPool(ServerRegistry registry, Clock clock, Deadlines deadlines, Counters counters, BufferPool buffers,
@@ -59,9 +59,11 @@
     }
 
     /**
-     * One use of a connection to the attempt's server; blocks until it has ended one way or another.
+     * Sends a query on an idle or a new connection to the attempt's server and reads the answer; blocks until the attempt has
+     * ended, or its long answer has begun.
      *
-     * @param withheld counts queries that were not written, since what they were decided on no longer held
+     * @param withheldCounter counts queries that were not written because the decision to send them was no longer valid
+     * @param toReply takes over the answer and maps it to a reply
      */
     Reply exchange(Attempt attempt, List<ByteBuffer> query, Counter withheldCounter, Function<Answer, Reply> toReply) {
         ServerConnection connection = null;
@@ -77,7 +79,7 @@
             } else {
                 connection = newConnection(attempt.serverId);
                 if (connection == null) {
-                    return Reply.of(Outcome.MOOT); // never sent, and the server is not to blame
+                    return Reply.of(Outcome.MOOT); // never sent, and not the server's fault
                 }
                 String refusal = open(connection, attempt);
                 if (refusal != null) {
@@ -96,7 +98,7 @@
             boolean inTime = attempt.complete();
             reusable = inTime && answer.endedCleanly();
             if (answer.isStreaming() && !inTime) {
-                releaseAnswer(answer); // its connection was closed meanwhile
+                releaseAnswer(answer); // the attempt was aborted and its connection closed
                 return Reply.of(attempt.failDisconnected());
             }
             streaming = answer.isStreaming();
@@ -117,8 +119,9 @@
     }
 
     /**
-     * Passes on the rest of an answer whose long row has begun, with the messages round its value or that alone; the
-     * client can tell if it does not come whole.
+     * Streams the rest of an answer whose long row has begun, with its messages or the value alone.
+     *
+     * @throws IOException if it could not be forwarded completely; the client then has to see that it is incomplete
      */
     void relay(Answer answer, OutputStream out, boolean withMessages) throws IOException {
         OpenStream stream = openStreams.remove(answer);
@@ -127,17 +130,17 @@
             stream.connection().relay(answer, out, withMessages, deadlines, stream.deadlineNs());
             reusable = answer.endedCleanly();
         } catch (ProtocolException e) {
-            throw new IOException("a long answer was spoilt", e);
+            throw new IOException("a long answer violated the protocol", e);
         } finally {
             releaseConnection(stream.connection(), reusable);
         }
     }
 
-    /** Null, or the SQLSTATE with which the server turned the connection away. */
+    /** Opens a connection; returns null, or the SQLSTATE with which the server refused it. */
     private String open(ServerConnection connection, Attempt attempt) throws IOException, ProtocolException {
         counters.count(Counter.SERVER_CONNECTS);
         if (!attempt.attachConnection(connection)) {
-            throw new IOException("cut off before it was sent");
+            throw new IOException("attempt aborted before connecting");
         }
         long waitNs = Math.min(deployment.get().connectTimeoutNs(), attempt.startedAt + attempt.timeoutNs - clock.now());
         Deadline timeOut = deadlines.after(deployment.get().connectTimeoutNs(), () -> attempt.abort(Outcome.CONNECT_FAILED));
@@ -153,7 +156,7 @@
         }
     }
 
-    /** Gives back what an answer holds that {@link #exchange} handed on. */
+    /** Releases the buffer of an answer from {@link #exchange}, and closes its connection if it was not streamed to its end. */
     void releaseAnswer(Answer answer) {
         OpenStream stream = openStreams.remove(answer);
         if (stream != null) {
@@ -162,7 +165,7 @@
         buffers.release(answer.buffer);
     }
 
-    /** A new connection, not yet opened; null if the server is gone or this pooler holds all it may. */
+    /** Creates a connection that is not opened yet; null if the server is unknown or no connection slot is free. */
     private ServerConnection newConnection(long serverId) throws IOException {
         InetSocketAddress address = registry.address(serverId);
         if (address == null || !idle.reserve()) {
@@ -176,6 +179,7 @@
         }
     }
 
+    /** Keeps a connection for reuse or closes it. */
     private void releaseConnection(ServerConnection connection, boolean reusable) {
         if (reusable) {
             idle.keep(connection);
@@ -184,7 +188,7 @@
         }
     }
 
-    /** Closes all idle connections to a server. */
+    /** Closes all idle connections to one server. */
     void closeAllIdle(long serverId) {
         idle.closeAll(serverId);
     }
