--- a/pooler/src/main/java/holdmux/pg/ClientOutput.java
+++ b/pooler/src/main/java/holdmux/pg/ClientOutput.java
@@ -39,11 +39,11 @@
     @Override
     public void write(byte[] bytes, int offset, int length) throws IOException {
         for (int written = 0; written < length; written += CHUNK_BYTES) {
-            Deadlines.Deadline timeOut = deadlines.after(WRITE_TIMEOUT_MS * Clock.MS, onTimeout);
+            Deadlines.Deadline timeout = deadlines.after(WRITE_TIMEOUT_MS * Clock.MS, onTimeout);
             try {
                 out.write(bytes, offset + written, Math.min(CHUNK_BYTES, length - written));
             } finally {
-                deadlines.cancel(timeOut);
+                deadlines.cancel(timeout);
             }
         }
     }
--- a/pooler/src/main/java/holdmux/pg/ServerConnection.java
+++ b/pooler/src/main/java/holdmux/pg/ServerConnection.java
@@ -100,22 +100,22 @@
      */
     Answer receive(ServerStatus.ReportFormat reportFormat, Deadlines deadlines) throws IOException, ProtocolException {
         byte[] header = new byte[MessageBuilder.HEADER_BYTES];
-        int got = channel.read(ByteBuffer.wrap(header));
+        int received = channel.read(ByteBuffer.wrap(header));
         Answer answer = new Answer(buffers.acquire(), reportFormat);
         boolean usable = false;
         Deadlines.Deadline trailerDeadline = null;
         try {
-            ByteBuffer in = ByteBuffer.wrap(answer.buffer).put(header, 0, Math.max(0, got));
-            while (got >= 0 && !answer.parse(in.position())) {
+            ByteBuffer in = ByteBuffer.wrap(answer.buffer).put(header, 0, Math.max(0, received));
+            while (received >= 0 && !answer.parse(in.position())) {
                 if (!in.hasRemaining()) {
                     throw ProtocolException.fatal(SqlState.PROTOCOL_VIOLATION, "answer exceeds the buffer");
                 }
                 if (trailerDeadline == null && (answer.isServed() || answer.sqlState() != null)) {
                     trailerDeadline = deadlines.after(TRAILER_TIMEOUT_NS, this::close);
                 }
-                got = channel.read(in);
+                received = channel.read(in);
             }
-            if (got < 0) {
+            if (received < 0) {
                 throw new EOFException("the server closed the connection");
             }
             usable = true;
@@ -191,9 +191,9 @@
     public boolean isReusable() {
         try {
             channel.configureBlocking(false);
-            int got = channel.read(ByteBuffer.allocate(1));
+            int received = channel.read(ByteBuffer.allocate(1));
             channel.configureBlocking(true);
-            return got == 0;
+            return received == 0;
         } catch (IOException e) {
             return false;
         }
--- a/pooler/src/main/java/holdmux/pg/ServerPool.java
+++ b/pooler/src/main/java/holdmux/pg/ServerPool.java
@@ -143,7 +143,7 @@
             throw new IOException("attempt aborted before connecting");
         }
         long waitNs = Math.min(deployment.get().connectTimeoutNs(), attempt.startedAt + attempt.timeoutNs - clock.now());
-        Deadline timeOut = deadlines.after(deployment.get().connectTimeoutNs(), () -> attempt.abort(Outcome.CONNECT_FAILED));
+        Deadline timeout = deadlines.after(deployment.get().connectTimeoutNs(), () -> attempt.abort(Outcome.CONNECT_FAILED));
         try {
             connection.connect(waitNs);
             connection.send(List.of(new MessageBuilder(new byte[STARTUP_BYTES]).beginUntyped().put(MessageBuilder.PROTOCOL_3).put("user")
@@ -152,7 +152,7 @@
             buffers.release(response.buffer);
             return response.sqlState();
         } finally {
-            deadlines.cancel(timeOut);
+            deadlines.cancel(timeout);
         }
     }
 
--- a/pooler/src/test/java/holdmux/pg/AnswerTest.java
+++ b/pooler/src/test/java/holdmux/pg/AnswerTest.java
@@ -38,6 +38,7 @@
         return bytes;
     }
 
+    /** Composes a result with one row, up to CommandComplete. */
     static MessageBuilder result(MessageBuilder message, String value) {
         byte[] data = value.getBytes(StandardCharsets.UTF_8);
         return message.begin('T').putShort(1).put("data").put(0).putShort(0).put(17).putShort(-1).put(-1).putShort(1)
@@ -70,8 +71,8 @@
         assertArrayEquals(new float[] {599.5f, 0, 7, 0.61f}, reply.report());
         ByteArrayOutputStream client = new ByteArrayOutputStream();
         answer.writeTo(client);
-        assertArrayEquals(bytes(m -> result(m, "v1").readyForQuery()), client.toByteArray(), "the row as it came");
-        Answer full = new Answer(bytes(m -> result(m, "v1")), REPORT_FORMAT); // a break left no room behind the row
+        assertArrayEquals(bytes(m -> result(m, "v1").readyForQuery()), client.toByteArray(), "the row is forwarded unchanged");
+        Answer full = new Answer(bytes(m -> result(m, "v1")), REPORT_FORMAT); // the buffer ends with the row, as after a broken connection
         full.parse(full.buffer.length);
         ByteArrayOutputStream other = new ByteArrayOutputStream();
         full.writeTo(other);
@@ -84,7 +85,7 @@
         assertEquals(Outcome.MISS, errorOutcome("72000"));
         assertEquals(Outcome.FULL, errorOutcome("53300"));
         assertEquals(Outcome.ERROR, errorOutcome("XX000"));
-        assertEquals(Outcome.ERROR, errorOutcome("08P01"), "what is not known never to have run may have run");
+        assertEquals(Outcome.ERROR, errorOutcome("08P01"), "the request may have run unless the SQLSTATE rules it out");
     }
 
     @Test
@@ -94,10 +95,10 @@
         Answer busy = answer(bytes(m -> m.error(false, "57P03", "busy", null).readyForQuery()));
         assertEquals(Outcome.FULL, busy.probeReply().outcome());
         Answer truncated = answer(bytes(m -> result(m, "x0=17672").readyForQuery()));
-        assertEquals(0, truncated.probeReply().report().length, "half a report is none");
+        assertEquals(0, truncated.probeReply().report().length, "an incomplete report is ignored");
     }
 
-    /** Only the row given for this very request is served: never two, and none without its description. */
+    /** Guards against serving anything but a single row: not two, and none without its RowDescription. */
     @Test
     void malformedResultsAreNotServed() throws ProtocolException {
         assertThrows(ProtocolException.class, () -> answer(bytes(m -> m.begin('D').putShort(0).end())));
@@ -106,7 +107,7 @@
         assertEquals(Outcome.ERROR, empty.reply().outcome());
     }
 
-    /** A good answer with noise or a second copy behind it is served; its connection is not used again. */
+    /** A valid answer followed by garbage or by a second copy is served; its connection is not reused. */
     @Test
     void bytesBehindAnAnswerOnlyPreventReuseOfItsConnection() throws ProtocolException {
         Answer answer = answer(bytes(m -> result(result(m, "a").readyForQuery(), "a").readyForQuery()));
@@ -114,7 +115,7 @@
         assertFalse(answer.endedCleanly());
     }
 
-    /** A report that is no number must not reach the module: its averages would never recover from it. */
+    /** Guards against NaN and other invalid values reaching the decision module, whose averages would never recover. */
     @Test
     void anUnreadableReportIsIgnored() throws ProtocolException {
         for (String bad : List.of("NaN", "Infinity", "-1", "%%%", "1e999")) {
@@ -130,7 +131,7 @@
         Answer answer = new Answer(new byte[2_048], REPORT_FORMAT);
         for (int length = 0; length < SERVED.length; length = Math.min(SERVED.length, length + piece)) {
             System.arraycopy(SERVED, 0, answer.buffer, 0, length);
-            assertFalse(answer.parse(length), "not whole at " + length);
+            assertFalse(answer.parse(length), "complete at " + length);
         }
         System.arraycopy(SERVED, 0, answer.buffer, 0, SERVED.length);
         assertTrue(answer.parse(SERVED.length));
@@ -151,7 +152,7 @@
         }
     }
 
-    /** A long row begins as soon as its head has come, and only if its lengths fit each other. */
+    /** A long row is streamed as soon as its header and lengths are received, and only if the lengths are consistent. */
     @Test
     void aLongRowStreamsOnceItsLengthsHaveCome() throws ProtocolException {
         for (int length : new int[] {64 * 1024, 64 * 1024 + 1, 4 * 1024 * 1024}) {
--- a/pooler/src/test/java/holdmux/pg/ClientInputTest.java
+++ b/pooler/src/test/java/holdmux/pg/ClientInputTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class ClientInputTest {
-    /** A read that a signal interrupted used to pass for the client's end: what it had asked was given up unanswered. */
+    /** Guards against taking a read interrupted by a signal for the end of input, which dropped the client's requests unanswered. */
     @Test
     void anInterruptedReadIsNotEndOfInput() throws Exception {
         ClientInput in = new ClientInput(DeadlineInputStreamTest.socketReturning(-3, 1, 1, -3, -3, 1, 1, -1), new Clock());
--- a/pooler/src/test/java/holdmux/pg/JitWarmUpTest.java
+++ b/pooler/src/test/java/holdmux/pg/JitWarmUpTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class JitWarmUpTest {
-    /** Guards against a rehearsal that no longer reaches what it is to warm: parsed answers and sends. */
+    /** Guards against a warm-up that no longer reaches the code it is meant for: parsed answers and sent requests. */
     @Test
     void warmUpParsesAndSends(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
--- a/pooler/src/test/java/holdmux/pg/PoolerTest.java
+++ b/pooler/src/test/java/holdmux/pg/PoolerTest.java
@@ -50,17 +50,17 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 
-/** The whole client and server side over loopback, against one scripted primary. */
+/** Tests the PostgreSQL front and upstream together over loopback, against one scripted primary. */
 @Timeout(20)
 class PoolerTest {
     private static final String WRITE = "INSERT INTO facts (code, data) VALUES ('7f', '\\x9f') RETURNING data "
             + "/* id=9b,c=save-quote,d=3000,cluster=2 */";
 
-    /** For messages of the usual kind. */
+    /** Capacity for messages of usual length. */
     private static final int MESSAGE_BYTES = 200_000;
     private static final int MIB = 1 << 20;
 
-    /** Descriptors of the pooler: half of them, 20, for clients. */
+    /** Socket limit of the pooler; half of it, 20, is for clients. */
     private static final int SOCKETS = 40;
 
     @TempDir
@@ -72,14 +72,14 @@
     private PgFront front;
     private Config config;
     private Balancer balancer;
-    /** What the server answers to a request. */
+    /** Composes the server's answer to a request. */
     private volatile Consumer<MessageBuilder> answerScript = m -> AnswerTest.result(m, "v").parameterStatus("replication_role", "primary")
             .readyForQuery();
 
-    /** Where not null, what it answers instead, a piece for each permit. */
+    /** If not null, sent instead of {@link #answerScript}, one piece per permit of {@link #nextPiece}. */
     private volatile byte[][] pieces;
     private final Semaphore nextPiece = new Semaphore(0);
-    /** What happens before a connection to the server comes up. */
+    /** Runs before the server completes the startup of a connection. */
     private volatile Runnable beforeGreeting = () -> { };
 
     @BeforeEach
@@ -133,7 +133,7 @@
                 Workers.newThread("scripted connection", () -> serveConnection(socket)).start();
             }
         } catch (IOException e) {
-            // the test is over
+            // the test has ended
         }
     }
 
@@ -149,24 +149,24 @@
                     send(socket, m -> AnswerTest.result(m, "x0=1,x1=1,inflight=0,util=0").readyForQuery());
                 } else {
                     queries.add(query);
-                    Consumer<MessageBuilder> now = answerScript;
+                    Consumer<MessageBuilder> script = answerScript;
                     byte[][] inPieces = pieces;
                     if (inPieces != null) {
                         sendPieces(socket, inPieces);
-                    } else if (now != null) {
-                        send(socket, now);
+                    } else if (script != null) {
+                        send(socket, script);
                     }
-                    if (inPieces == null && now == null || inPieces != null && inPieces[inPieces.length - 1] == null) {
+                    if (inPieces == null && script == null || inPieces != null && inPieces[inPieces.length - 1] == null) {
                         return;
                     }
                 }
             }
         } catch (IOException e) {
-            // the pooler left
+            // the pooler closed the connection
         }
     }
 
-    /** Each piece goes out once the client has the one before; null ends the connection. */
+    /** Sends one piece per permit; null at the end closes the connection. */
     private void sendPieces(Socket socket, byte[][] inPieces) throws IOException {
         for (byte[] piece : inPieces) {
             if (piece != null) {
@@ -190,7 +190,10 @@
         message.begin('Q').put(text).end();
     }
 
-    /** The types of the messages up to and with this many ReadyForQuery, or the end. */
+    /**
+     * Reads messages up to the given number of ReadyForQuery or the end of input. Returns their types, with the SQLSTATE behind
+     * each error, "hello " for the startup messages and "|" for the end.
+     */
     private static String readTypes(Socket socket, int readyCount) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         StringBuilder types = new StringBuilder();
@@ -200,7 +203,7 @@
             try {
                 type = in.read();
             } catch (SocketException e) {
-                type = -1; // closed with something of ours unread
+                type = -1; // the pooler closed the connection with unread input
             }
             if (type < 0) {
                 types.append('|');
@@ -243,7 +246,7 @@
         assertEquals("hello TDCZ", ask(WRITE));
         assertEquals("hello IZ", ask(""));
         assertEquals(1, queries.size());
-        assertTrue(queries.get(0).matches(".*d=(29\\d\\d|3000),.*"), "d says how long we wait: " + queries.get(0));
+        assertTrue(queries.get(0).matches(".*d=(29\\d\\d|3000),.*"), "d is the remaining time: " + queries.get(0));
     }
 
     @Test
@@ -251,7 +254,7 @@
         assertEquals("hello E42601Z", ask("SELECT 1"));
         assertEquals("hello E22023Z", ask(WRITE.replace("save-quote", "no-such")));
         assertEquals("hello E22023Z", ask(WRITE.replace("cluster=2", "cluster=9")));
-        assertEquals("hello E22023Z", ask(WRITE.replace("save-quote", "my-quotes")), "a write in a class of reads");
+        assertEquals("hello E22023Z", ask(WRITE.replace("save-quote", "my-quotes")), "a write in a read-only class");
         try (Socket client = client()) {
             send(client, m -> {
                 startup(m);
@@ -267,7 +270,7 @@
         assertTrue(queries.isEmpty());
     }
 
-    /** An insert of 4 MiB lies in many buffers, and goes on unchanged but for d; far longer ones are refused at their head. */
+    /** An insert of 4 MiB spans many buffers and is forwarded unchanged but for d; much longer ones are refused at their header. */
     @Test
     void aLongStatementIsForwardedUnchanged() throws IOException {
         String insert = WRITE.replace("\\x9f", "\\x" + "9f0a".repeat(2 * MIB));
@@ -284,7 +287,7 @@
         }
     }
 
-    /** A client that is slow but goes on is waited for: only a pause ends a message, not its whole time. */
+    /** Guards against cutting off a client that sends slowly but steadily: a message times out by a long pause, not by its duration. */
     @Test
     void aSlowWriterIsServed() throws Exception {
         byte[] text = (WRITE + "\0").getBytes(StandardCharsets.UTF_8);
@@ -309,7 +312,7 @@
         return bytes;
     }
 
-    /** A long value is passed on as it comes: held until whole, a few of them would take all memory. */
+    /** Guards against buffering long values completely, a few of which would exhaust the memory. */
     @Test
     void aLongAnswerIsStreamed() throws Exception {
         byte[] answer = longRow(4 * MIB);
@@ -322,7 +325,7 @@
             assertEquals("hello ", readTypes(client, 1));
             nextPiece.release();
             byte[] first = client.getInputStream().readNBytes(70_000);
-            assertArrayEquals(pieces[0], first, "before the server gave the rest");
+            assertArrayEquals(pieces[0], first, "received before the server sent the rest");
             nextPiece.release();
             byte[] rest = client.getInputStream().readNBytes(answer.length - 70_000);
             assertArrayEquals(pieces[1], rest);
@@ -331,10 +334,10 @@
             assertEquals("TDCZ", readTypes(client, 1));
         }
         assertEquals(1, counters.get(Counter.LONG_ANSWERS));
-        assertTrue(counters.get(Counter.SERVER_REUSES) > 0, "the server's connection is used again");
+        assertTrue(counters.get(Counter.SERVER_REUSES) > 0, "the server connection is reused");
     }
 
-    /** What breaks midway must show as failed, and must not be asked for again: its client has seen a part of it. */
+    /** A long answer that breaks midway must be seen to fail and must not be retried, since the client has received part of it. */
     @Test
     void aBrokenLongAnswerClosesTheClientConnection() throws Exception {
         pieces = new byte[][] {Arrays.copyOf(longRow(MIB), 100_000), null};
@@ -345,28 +348,28 @@
         assertEquals(1, queries.size());
     }
 
-    /** An answer that stops short behind its row has served: its client waited for the rest until its time was over. */
+    /** Guards against waiting for ReadyForQuery until the deadline when a complete result has been received. */
     @Test
     void anAnswerWithoutReadyForQueryIsServedAtOnce() throws Exception {
         answerScript = m -> AnswerTest.result(m, "v");
         long start = System.nanoTime();
         assertEquals("hello TDCZ", ask(WRITE));
-        assertTrue(System.nanoTime() - start < 2_500 * Clock.MS, "the attempt's 3 s were waited for");
+        assertTrue(System.nanoTime() - start < 2_500 * Clock.MS, "answered only after the attempt's 3 s");
         answerScript = m -> AnswerTest.result(m, "v").readyForQuery();
-        assertEquals("hello TDCZ", ask(WRITE), "on another connection");
+        assertEquals("hello TDCZ", ask(WRITE), "served on another connection");
     }
 
-    /** A spoilt answer that begins a long value and then gives nothing: its client must be able to tell near its time. */
+    /** A server begins a long value and then sends nothing: the client must see the failure close to its deadline. */
     @Test
     void aStalledLongAnswerClosesTheClientConnectionInTime() throws Exception {
         pieces = new byte[][] {Arrays.copyOf(longRow(MIB), 100_000), new byte[0]};
         nextPiece.release();
         long start = System.nanoTime();
         assertEquals("hello TD|", ask(WRITE.replace("d=3000", "d=700")));
-        assertTrue(System.nanoTime() - start < 4_500 * Clock.MS, "5 s of silence were waited for");
+        assertTrue(System.nanoTime() - start < 4_500 * Clock.MS, "closed only after 4.5 s of silence");
     }
 
-    /** Guards against clients that connect and say nothing, or keep a connection they no longer use, filling the cap. */
+    /** Guards against the cap being filled by clients that send nothing or keep connections they no longer use. */
     @Test
     void idleClientsMakeRoomForNewOnes() throws Exception {
         List<Socket> kept = new ArrayList<>();
@@ -376,29 +379,29 @@
                 send(kept.get(i), PoolerTest::startup);
                 assertEquals("hello ", readTypes(kept.get(i), 1));
             }
-            send(kept.get(0), m -> m.put('Q').put(100)); // half a message keeps no place either
-            send(kept.get(1), m -> query(m, "SELECT 1")); // nor does one that cannot be answered
+            send(kept.get(0), m -> m.put('Q').put(100)); // nor does an incomplete message keep the connection
+            send(kept.get(1), m -> query(m, "SELECT 1")); // nor does a query that cannot be served
             assertEquals("E42601Z", readTypes(kept.get(1), 1));
-            assertEquals("hello IZ", ask(""), "the longest silent made room");
+            assertEquals("hello IZ", ask(""), "the oldest client without a request is closed");
             assertEquals("|", readTypes(kept.get(0), 1));
-            assertEquals("hello IZ", ask(""), "there is room for one");
+            assertEquals("hello IZ", ask(""), "one place is free");
             Socket late = client();
             send(late, PoolerTest::startup);
             assertEquals("hello ", readTypes(late, 1));
             kept.add(late);
-            assertEquals("hello IZ", ask(""), "the next longest made room");
+            assertEquals("hello IZ", ask(""), "the next oldest is closed");
             assertEquals("|", readTypes(kept.get(1), 1));
             kept.subList(0, 2).clear();
-            for (Socket asks : kept) {
-                send(asks, m -> query(m, ""));
-                assertEquals("IZ", readTypes(asks, 1));
+            for (Socket client : kept) {
+                send(client, m -> query(m, ""));
+                assertEquals("IZ", readTypes(client, 1));
             }
             Thread.sleep(300);
-            assertEquals("|", readTypes(kept.get(0), 1), "in a crowd the one that rested longest goes");
+            assertEquals("|", readTypes(kept.get(0), 1), "when crowded, the client that is idle longest is closed");
             assertEquals("hello IZ", ask(""));
             Socket last = kept.get(kept.size() - 1);
             send(last, m -> query(m, ""));
-            assertEquals("IZ", readTypes(last, 1), "half of them may rest");
+            assertEquals("IZ", readTypes(last, 1), "below half the cap, idle clients stay");
         } finally {
             for (Socket socket : kept) {
                 socket.close();
@@ -406,23 +409,23 @@
         }
     }
 
-    /** Who hangs in a startup or a message is owed an end within 3 s; what it had asked before is answered first. */
+    /** A stalled startup or message has to be ended within 3 s; earlier queries are answered first. */
     @Test
     void anIncompleteMessageTimesOut() throws IOException {
-        try (Socket mute = client(); Socket half = client()) {
-            send(half, m -> {
+        try (Socket silent = client(); Socket incomplete = client()) {
+            send(incomplete, m -> {
                 startup(m);
                 query(m, "");
                 m.put('Q').put(100);
             });
             long start = System.nanoTime();
-            assertEquals("E57014|", readTypes(mute, 1));
-            assertEquals("hello IZE57014|", readTypes(half, 3));
+            assertEquals("E57014|", readTypes(silent, 1));
+            assertEquals("hello IZE57014|", readTypes(incomplete, 3));
             assertTrue(System.nanoTime() - start < 2_800_000_000L);
         }
     }
 
-    /** A fault in what follows must not cut off the answer to what was taken before. */
+    /** Guards against a protocol error cutting off the answers to earlier queries. */
     @Test
     void queuedQueriesAreAnsweredBeforeALaterProtocolError() throws Exception {
         Consumer<MessageBuilder> answer = answerScript;
@@ -440,7 +443,7 @@
         }
     }
 
-    /** Hundreds of commands at once: each has its one answer, most a refusal, and the connection stays: a close lost some. */
+    /** Of hundreds of commands sent at once, each gets one answer, mostly a refusal; closing the connection used to lose some. */
     @Test
     void aFloodOfCommandsIsRefused() throws IOException {
         Consumer<MessageBuilder> answer = answerScript;
@@ -458,7 +461,7 @@
             message.writeTo(client.getOutputStream());
             String types = readTypes(client, 300);
             assertTrue(types.matches("(TDCZ|E53300Z){300}"), types);
-            assertTrue(types.contains("E53300Z".repeat(30)), "most are turned away at once");
+            assertTrue(types.contains("E53300Z".repeat(30)), "most are refused immediately");
         }
     }
 
@@ -468,7 +471,7 @@
         assertEquals("hello T" + "D".repeat(counters.snapshot().size()) + "CZ", types);
     }
 
-    /** A connection that breaks after the last byte may have run its write: failed, never sent again. */
+    /** If the connection breaks after the last byte was sent, the write may have run: it fails and is never sent again. */
     @Test
     void aWriteCutOffAfterItsLastByteIsNotRetried() throws IOException {
         answerScript = null;
@@ -486,7 +489,7 @@
         assertEquals(2, queries.size());
     }
 
-    /** While the program ends, reads are still served on the connections there are; a write that may need longer is not. */
+    /** During shutdown, requests that fit in the remaining time are served on open connections; writes that may outlast it are refused. */
     @Test
     void requestsThatOutlastTheShutdownAreRefused() throws IOException {
         front.announceShutdown(2_000 * Clock.MS);
@@ -496,19 +499,19 @@
                 startup(m);
                 query(m, WRITE);
             });
-            assertEquals("hello E57P03Z|", readTypes(client, 3), "its client is sent elsewhere");
+            assertEquals("hello E57P03Z|", readTypes(client, 3), "the client has to use another pooler");
         }
         assertEquals(1, queries.size());
     }
 
-    /** What was decided is asked again once the connection is up: on the way there a server may begin to drain. */
+    /** Guards against sending to a server that began to drain while the connection to it was being opened. */
     @Test
     void aDecisionIsCheckedAgainBeforeTheQueryIsWritten() throws IOException {
         String drains = "{\"seq\":42,\"whole\":false,\"hosts\":[{\"host\":\"s-1\",\"dial\":\"127.0.0.1:"
                 + server.getLocalPort() + "\",\"block\":2,\"health\":\"draining\"}]}";
         beforeGreeting = () -> {
             while (counters.get(Counter.ATTEMPTS) == 0) {
-                sleep(1); // a probe's connection may come first
+                sleep(1); // a probe's connection may be opened first
             }
             balancer.listChanged(HostList.decode(drains), false);
         };
@@ -517,7 +520,7 @@
         assertEquals(1, counters.get(Counter.SENDS_OUTDATED));
     }
 
-    /** Guards against a drain that cuts off what was taken, and one that leaves idle clients in place. */
+    /** Guards against a drain that cuts off accepted queries, or that leaves idle clients connected. */
     @Test
     void aDrainAnswersAcceptedQueries() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
@@ -545,7 +548,7 @@
         assertFalse(queries.isEmpty());
     }
 
-    /** Sent away, clients find readiness denied, and no connection rests here; going back to work undoes all of it. */
+    /** During an evacuation the readiness check fails and idle connections are closed; ending the evacuation undoes both. */
     @Test
     void evacuationClosesClientsAndCanBeUndone() throws Exception {
         try (Socket idle = client(); Socket busy = client(); Socket kept = client()) {
@@ -557,12 +560,12 @@
                 assertEquals("hello IZ", readTypes(client, 2));
             }
             front.setEvacuating(true);
-            assertEquals("hello E57P03Z", ask(""), "at once");
+            assertEquals("hello E57P03Z", ask(""), "the readiness check fails immediately");
             front.setEvacuating(false);
             assertEquals("hello IZ", ask(""));
             Thread.sleep(600);
             send(kept, m -> query(m, ""));
-            assertEquals("IZ", readTypes(kept, 1), "nobody was sent away meanwhile");
+            assertEquals("IZ", readTypes(kept, 1), "no client was closed meanwhile");
             Consumer<MessageBuilder> answer = answerScript;
             answerScript = m -> {
                 sleep(900);
@@ -571,11 +574,11 @@
             send(busy, m -> query(m, WRITE));
             front.setEvacuating(true);
             assertEquals("|", readTypes(idle, 1));
-            assertEquals("TDCZ|", readTypes(busy, 2), "what was taken is answered first");
+            assertEquals("TDCZ|", readTypes(busy, 2), "the accepted query is answered first");
         }
     }
 
-    /** Another process takes over: the address serves two, who had connected is heard, and each answer ends its connection. */
+    /** While another process takes over, both listen on the address; connected clients get an answer and are then closed. */
     @Test
     void aTakeoverRefusesNoClient() throws Exception {
         try (Socket kept = client(); ServerSocket newer = new ServerSocket()) {
@@ -584,7 +587,7 @@
                 query(m, "");
             });
             assertEquals("hello IZ", readTypes(kept, 2));
-            Thread.sleep(200); // it rests, long after its answer
+            Thread.sleep(200); // idle, well after its answer
             front.handOver();
             List<Socket> late = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -599,11 +602,11 @@
             newer.bind(config.listen());
             front.stopAccepting();
             for (Socket socket : late) {
-                assertEquals("hello IZ|", readTypes(socket, 3), "taken in before the listener closed");
+                assertEquals("hello IZ|", readTypes(socket, 3), "accepted before the listener closed");
                 socket.close();
             }
             send(kept, m -> query(m, ""));
-            assertEquals("IZ|", readTypes(kept, 2), "the connection stayed until its next answer");
+            assertEquals("IZ|", readTypes(kept, 2), "the connection stays open until its next answer");
             newer.setSoTimeout(5_000);
             try (Socket next = client()) {
                 newer.accept().close();
@@ -611,7 +614,7 @@
         }
     }
 
-    /** In a crowd who asked once makes room; cutting off those who come back cost a new connection for each request. */
+    /** When crowded, clients with one request are closed first; closing returning clients cost a new connection per request. */
     @Test
     void returningClientsAreKeptLongerWhenCrowded() throws Exception {
         List<Socket> kept = new ArrayList<>();
@@ -629,7 +632,7 @@
                     assertEquals("IZ", readTypes(client, 1));
                 }
             }
-            assertEquals("|", readTypes(kept.get(1), 1), "the oldest of those who asked once");
+            assertEquals("|", readTypes(kept.get(1), 1), "the oldest client with one request");
             send(kept.get(0), m -> query(m, ""));
             assertEquals("IZ", readTypes(kept.get(0), 1));
         } finally {
@@ -639,7 +642,7 @@
         }
     }
 
-    /** How a client goes. */
+    /** The ways in which a client can leave or cancel. */
     private enum Departure {
         CLOSES, RESETS, HALF_CLOSES, CANCELS;
 
@@ -656,7 +659,7 @@
         }
     }
 
-    /** Reads the greeting; what a CancelRequest must name. */
+    /** Reads the startup messages; returns the BackendKeyData for a CancelRequest. */
     private static byte[] readCancelKey(Socket client) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
         byte[] key = null;
@@ -671,7 +674,7 @@
     private void cancel(byte[] key) throws IOException {
         try (Socket other = client()) {
             send(other, m -> m.put(16).put(80_877_102).put(key, 0, 8));
-            assertEquals(-1, other.getInputStream().read(), "a CancelRequest has no answer");
+            assertEquals(-1, other.getInputStream().read(), "a CancelRequest is not answered");
         }
     }
 
@@ -683,14 +686,14 @@
     }
 
     /**
-     * However it goes, and whatever it had sent behind its query: no attempt begins after that. A reader that stopped
-     * because enough was waiting saw no end, and the query was sent on time and again for nobody.
+     * Once a client has gone, no further attempt begins for its query, whatever it has sent behind that. Guards against a reader
+     * that stops when its queue is full, misses the end of input and lets the query be retried for nobody.
      */
     @ParameterizedTest
     @EnumSource
     void noAttemptBeginsAfterItsClientHasGone(Departure departure) throws Exception {
         String large = WRITE.replace("\\x9f", "\\x" + "9f".repeat(30_000));
-        // what waits behind is not cancelled
+        // a CancelRequest does not cancel queued queries
         for (List<String> behind : departure == Departure.CANCELS ? List.of(List.<String>of())
                 : List.of(List.<String>of(), Collections.nCopies(300, WRITE), Collections.nCopies(3, large))) {
             long left = counters.get(Counter.CLIENTS_LEFT);
@@ -718,11 +721,11 @@
                 gone.countDown();
             }
             sleep(100);
-            assertEquals(1, queries.size(), "behind " + behind.size());
+            assertEquals(1, queries.size(), "queries behind it: " + behind.size());
         }
     }
 
-    /** Its connection comes up late: the request is not written any more. */
+    /** The client leaves while the server connection is being opened: the request must not be written any more. */
     @ParameterizedTest
     @EnumSource
     void nothingIsWrittenOnceTheClientHasGoneDuringConnect(Departure departure) throws Exception {
@@ -745,7 +748,7 @@
         assertEquals(List.of(), queries);
     }
 
-    /** PostgreSQL's CancelRequest: one error for the query that runs, and its connection lives on; a guess does nothing. */
+    /** A CancelRequest yields one error for the running query and keeps its connection open; a wrong key has no effect. */
     @Test
     void onlyTheMatchingKeyCancelsAQuery() throws Exception {
         Consumer<MessageBuilder> answer = answerScript;
@@ -759,8 +762,8 @@
             send(client, PoolerTest::startup);
             byte[] key = readCancelKey(client);
             send(other, PoolerTest::startup);
-            assertFalse(Arrays.equals(key, readCancelKey(other)), "each has its own");
-            cancel(key); // nothing runs: no effect on what comes next
+            assertFalse(Arrays.equals(key, readCancelKey(other)), "each session has its own key");
+            cancel(key); // no query is running: must not affect the next one
             send(client, m -> query(m, WRITE));
             asked.await();
             byte[] guess = key.clone();
@@ -775,34 +778,34 @@
             send(client, m -> query(m, WRITE));
             assertEquals("TDCZ", readTypes(client, 1));
             assertEquals(1, counters.get(Counter.QUERIES_CANCELED));
-            assertEquals(2, queries.size(), "never sent again");
+            assertEquals(2, queries.size(), "the cancelled query is not retried");
         }
     }
 
-    /** All that comes up to a close in good order: a reset takes with it what its peer has not read. */
+    /** Reads all data up to an orderly close; after a reset, unread data is lost and the read fails. */
     private static String readToEnd(Socket client) throws IOException {
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** A close over unread bytes resets the connection, and the last answer goes with it: the input is read out first. */
+    /** Guards against closing with unread input, which resets the connection and loses the last answer. */
     @Test
     void theLastAnswerArrivesDespiteUnreadInput() throws Exception {
         byte[] noise = new byte[MIB];
-        for (Consumer<MessageBuilder> wrong : List.<Consumer<MessageBuilder>>of(m -> m.put('Q').put(1 << 30), m -> m.put('Q').put(-7),
+        for (Consumer<MessageBuilder> invalidMessage : List.<Consumer<MessageBuilder>>of(m -> m.put('Q').put(1 << 30), m -> m.put('Q').put(-7),
                 m -> m.begin('P').put("extended").end(), m -> m.put('X').put(4))) {
             try (Socket client = client()) {
                 send(client, m -> {
                     startup(m);
                     query(m, WRITE);
-                    wrong.accept(m);
+                    invalidMessage.accept(m);
                 });
                 client.getOutputStream().write(noise, 0, 100_000);
-                String told = readToEnd(client);
-                assertTrue(told.contains("SELECT 1"), told);
+                String received = readToEnd(client);
+                assertTrue(received.contains("SELECT 1"), received);
             }
         }
         while (front.openClients() > 0) {
-            sleep(1); // until those that have closed are seen to have: up to then they count for the cap
+            sleep(1); // closed clients count towards the cap until the pooler notices
         }
         List<Socket> all = new ArrayList<>();
         try {
@@ -813,7 +816,7 @@
                     query(m, "");
                 });
                 assertEquals("hello IZ", readTypes(all.get(i), 2));
-                send(all.get(i), m -> query(m, "")); // who comes back is no longer the first to go
+                send(all.get(i), m -> query(m, "")); // returning clients are not closed first
                 assertEquals("IZ", readTypes(all.get(i), 1));
             }
             try (Socket late = client()) {
@@ -821,7 +824,7 @@
                     startup(m);
                     query(m, WRITE);
                 });
-                assertTrue(readToEnd(late).contains("53300"), "turned away with a word");
+                assertTrue(readToEnd(late).contains("53300"), "rejected with an error message");
             }
         } finally {
             for (Socket socket : all) {
@@ -830,7 +833,7 @@
         }
     }
 
-    /** What a client has still to take when its connection ends lies in the kernel, and a reset throws it away. */
+    /** Guards against a reset discarding the data that is still in the kernel's send buffer when the connection is closed. */
     @Test
     void anAnswerInFlightSurvivesTheClose() throws Exception {
         String value = "v".repeat(30_000);
@@ -845,24 +848,24 @@
             });
             client.getOutputStream().write(new byte[100_000]);
             awaitIncrement(Counter.BAD_INPUT, 0);
-            sleep(50); // the close is on its way
-            String told = readToEnd(client);
-            assertTrue(told.contains(value) && told.contains("0A000"), told.length() + " bytes were told");
+            sleep(50); // the close has begun
+            String received = readToEnd(client);
+            assertTrue(received.contains(value) && received.contains("0A000"), received.length() + " bytes received");
         }
     }
 
-    /** A request that is read after the connection's end began must not be sent on: nobody could be told how it went. */
+    /** Guards against forwarding a request that arrives after the connection began to close, since it could not be answered. */
     @Test
     void inputAfterTheCloseIsNeverForwarded() throws Exception {
-        try (Socket rests = client()) {
-            send(rests, m -> {
+        try (Socket idle = client()) {
+            send(idle, m -> {
                 startup(m);
                 query(m, "");
             });
-            assertEquals("hello IZ", readTypes(rests, 2));
+            assertEquals("hello IZ", readTypes(idle, 2));
             front.closeWhenIdle();
-            assertEquals(-1, rests.getInputStream().read(), "the end comes at once");
-            send(rests, m -> query(m, WRITE));
+            assertEquals(-1, idle.getInputStream().read(), "the connection is closed immediately");
+            send(idle, m -> query(m, WRITE));
             awaitIncrement(Counter.CLIENTS_CLOSED, 0);
             assertEquals(0, front.openClients());
             assertEquals(List.of(), queries);
--- a/pooler/src/test/java/holdmux/pg/ServerConnectionTest.java
+++ b/pooler/src/test/java/holdmux/pg/ServerConnectionTest.java
@@ -20,9 +20,9 @@
 
 class ServerConnectionTest {
     /**
-     * A server whose queue of connections is full takes no more: the kernel drops the next handshakes, as a server cut
-     * off drops them, and a connect waits for minutes unless its own thread bounds it. Guards against a connect that
-     * waits for another thread to close it (which on the fleet's days does not end it) and so answers its request late.
+     * When a server's accept queue is full, the kernel drops further handshakes, just as for an unreachable server, and a connect
+     * without its own time-out blocks for minutes. Guards against a connect that relies on another thread closing the channel,
+     * which does not always interrupt it, so that the request is answered late.
      */
     @Test
     void connectToAnUnresponsiveServerTimesOutByItself() throws IOException {
@@ -31,9 +31,10 @@
         try (ServerSocket silent = new ServerSocket(0, 1, loopback)) {
             InetSocketAddress address = new InetSocketAddress(loopback, silent.getLocalPort());
             fillQueue(address, queued);
-            ServerConnection connection = new ServerConnection(1, address, new BufferPool(4 * BufferPool.BUFFER_SIZE, BufferPool.BUFFER_SIZE, () -> false));
+            ServerConnection connection = new ServerConnection(1, address,
+                    new BufferPool(4 * BufferPool.BUFFER_SIZE, BufferPool.BUFFER_SIZE, () -> false));
             try (connection) {
-                // no other thread and no deadline: only the bound given to connect can end it
+                // without another thread or a deadline, only the time-out passed to connect can end it
                 assertTimeoutPreemptively(Duration.ofSeconds(20),
                         () -> assertThrows(SocketTimeoutException.class, () -> connection.connect(200 * Clock.MS)));
             }
@@ -45,19 +46,20 @@
     }
 
     /**
-     * An answer of messages without end fills the buffer with no room for a next one's head: reading on gave nothing for
-     * ever, and the thread spun until its attempt was cut.
+     * An endless sequence of messages fills the buffer until there is no room for the next header. Guards against reading into
+     * the full buffer, which returns 0 bytes each time, so that the thread spins until its attempt is aborted.
      */
     @Test
     void anEndlessAnswerFailsOnceTheBufferIsFull() throws IOException {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         byte[] notices = new byte[BufferPool.BUFFER_SIZE];
         for (int i = 0; i < notices.length; i++) {
-            notices[i] = (byte) (i % 7 == 0 ? 'N' : i % 7 == 4 ? 6 : 0); // a head of five bytes and two of content
+            notices[i] = (byte) (i % 7 == 0 ? 'N' : i % 7 == 4 ? 6 : 0); // a header of five bytes and two bytes of content
         }
         try (ServerSocket server = new ServerSocket(0, 1, loopback);
                 ServerConnection connection = new ServerConnection(1,
-                        new InetSocketAddress(loopback, server.getLocalPort()), new BufferPool(4 * BufferPool.BUFFER_SIZE, BufferPool.BUFFER_SIZE, () -> false))) {
+                        new InetSocketAddress(loopback, server.getLocalPort()),
+                        new BufferPool(4 * BufferPool.BUFFER_SIZE, BufferPool.BUFFER_SIZE, () -> false))) {
             connection.connect(5_000 * Clock.MS);
             try (Socket socket = server.accept()) {
                 socket.getOutputStream().write(notices);
@@ -67,7 +69,7 @@
         }
     }
 
-    /** Connects until one does not come up within a short bound: from then on the server drops handshakes. */
+    /** Opens connections until one times out: the accept queue is full then, and further handshakes are dropped. */
     private static void fillQueue(InetSocketAddress address, List<Socket> queued) throws IOException {
         for (int i = 0; i < 64; i++) {
             Socket socket = new Socket();
@@ -79,6 +81,6 @@
                 return;
             }
         }
-        throw new IllegalStateException("the server took 64 connections with a queue of one");
+        throw new IllegalStateException("the server accepted 64 connections with a queue of one");
     }
 }
