--- a/flight/src/test/java/holdmux/flight/FlightFixture.java
+++ b/flight/src/test/java/holdmux/flight/FlightFixture.java
@@ -33,7 +33,7 @@
 
     final StandIns standIns = new StandIns();
     final Pooler pooler;
-    final FlightExtension part;
+    final FlightExtension extension;
     final BufferAllocator allocator = new RootAllocator();
     private final int pgPort = StandIns.freePort();
     private final int flightPort = StandIns.freePort();
@@ -53,8 +53,8 @@
         Clock clock = new Clock();
         Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()), clock.now());
         Files.delete(file);
-        part = new FlightExtension(new InetSocketAddress("127.0.0.1", flightPort), Set.of(StandIns.FLIGHT_KIND));
-        pooler = new Pooler(config, List.of(part), clock);
+        extension = new FlightExtension(new InetSocketAddress("127.0.0.1", flightPort), Set.of(StandIns.FLIGHT_KIND));
+        pooler = new Pooler(config, List.of(extension), clock);
         pooler.start();
         pooler.fronts().listen();
         Workers.newThread("front", () -> {
@@ -228,8 +228,8 @@
         }
         pooler.fronts().stopAccepting();
         standIns.close();
-        await(() -> part.streamBytes() == 0);
-        part.close(); // throws if any of Arrow's memory was not released
+        await(() -> extension.streamBytes() == 0);
+        extension.close(); // throws if any of Arrow's memory was not released
         allocator.close();
     }
 }
--- a/flight/src/test/java/holdmux/flight/FlightFrontTest.java
+++ b/flight/src/test/java/holdmux/flight/FlightFrontTest.java
@@ -141,7 +141,7 @@
             assertEquals(FlightFixture.FAILED, fixture.queryPg(ratesQuery("r2", "300x5000"))); // longer than the buffer for single values
             assertEquals(2, fixture.counter(Counter.VALUES_UNFIT));
             assertEquals(2, fixture.counter(Counter.ATTEMPTS));
-            assertEquals(0, fixture.part.streamBytes());
+            assertEquals(0, fixture.extension.streamBytes());
         }
     }
 
--- a/flight/src/test/java/holdmux/flight/OutdatedReadTest.java
+++ b/flight/src/test/java/holdmux/flight/OutdatedReadTest.java
@@ -31,7 +31,7 @@
                     .getBytes(StandardCharsets.UTF_8);
             int[] checks = new int[1];
             Attempt attempt = new Attempt(serverId("s-2"), 0, services.clock().now(), 1_500 * Clock.MS, () -> checks[0]++ == 0);
-            AttemptResult attempted = fixture.part.upstream(services).attempt(attempt, Statement.parse(ChunkedText.of(sql, sql.length)),
+            AttemptResult attempted = fixture.extension.upstream(services).attempt(attempt, Statement.parse(ChunkedText.of(sql, sql.length)),
                     QueryResult.Shape.TABLE);
             assertEquals(Outcome.RESET, attempted.reply().outcome());
             assertNull(attempted.queryResult());
