--- a/fleet/src/main/java/holdmux/fleet/LeaseAllocator.java
+++ b/fleet/src/main/java/holdmux/fleet/LeaseAllocator.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 
 /**
- * One granting member's part of one limit, leased to poolers for a while. Each member grants from a part of its own, so
- * members need not agree on anything: whoever is cut off from whom, what all of them have granted is at most the limit.
- * No clock and no I/O: times are nanoseconds of the member's own monotonic clock. Not thread-safe.
+ * Leases one member's share of a fleet-wide limit to poolers. Each member grants only from its own share, so members need
+ * no agreement: under any partition, the sum of all grants never exceeds the limit. Performs no I/O and reads no clock;
+ * times are nanoseconds of the member's monotonic clock. Not thread-safe.
  */
 public final class LeaseAllocator {
     /**
-     * Poolers that hold something of one limit at once, the largest fleet planned for: each question looks at all of them.
-     * Further ones get nothing and live on their static share.
+     * Maximum number of poolers holding a lease at once: the largest supported fleet, since each request scans all holders.
+     * Further poolers are granted nothing and use their static share only.
      */
     static final int MAX_HOLDERS = 1_000;
 
-    /** What a pooler may still be using of an answer that it may or may not have had. */
+    /** A granted amount that the pooler may be using until it expires, whether or not the answer has reached it. */
     private record Lease(double amount, long untilNs) {}
 
     private static final class Holder {
         final List<Lease> leases = new ArrayList<>();
         double demand;
 
-        /** A renewal that is smaller binds only once it has arrived: until the older lease lapses both may be in use. */
+        /** The largest unexpired lease: a smaller renewal takes effect only once it arrives, so the older may be in use. */
         double outstanding() {
             return leases.stream().mapToDouble(Lease::amount).max().orElse(0);
         }
@@ -36,14 +36,14 @@
     private final Map<String, Holder> holders = new HashMap<>();
 
     /**
-     * @param part    this member's part of the limit, in the limit's own unit
-     * @param leaseNs how long a lease lasts here
-     * @param startNs the member's start: for one lease from then on nothing is granted, as what it granted before its
-     *                start may still be in use
+     * @param share   this member's share of the limit, in the limit's unit
+     * @param leaseNs lease duration on this member's clock
+     * @param startNs when the member started; nothing is granted for one lease duration from then, because leases granted
+     *                before a restart may still be in use
      */
     public LeaseAllocator(double share, long leaseNs, long startNs) {
         if (!(share >= 0) || leaseNs <= 0) {
-            throw new IllegalArgumentException("a part of " + share + " for " + leaseNs + " ns");
+            throw new IllegalArgumentException("invalid share " + share + " or lease duration " + leaseNs + " ns");
         }
         this.share = share;
         this.leaseNs = leaseNs;
@@ -51,8 +51,8 @@
     }
 
     /**
-     * A pooler asks, having measured that it wants so much; what it is granted for a lease from now, in place of what it
-     * had here. Shares are max-min fair: who wants less than an equal share gets all it wants, the others divide the rest.
+     * Grants a pooler a lease from now on that replaces its previous one, given the demand it measured. Grants are max-min
+     * fair: a pooler that demands less than an equal share gets all of it, and the others divide the remainder equally.
      */
     public double acquire(String pooler, double demand, long nowNs) {
         removeExpired(nowNs);
@@ -67,7 +67,7 @@
         return granted;
     }
 
-    /** The water level: the most that anybody gets where the part does not cover all that is wanted. */
+    /** The max-min fair cap per pooler when total demand exceeds this member's share. */
     private double fairShare() {
         double[] demands = holders.values().stream().mapToDouble(h -> h.demand).sorted().toArray();
         double remaining = share;
@@ -88,7 +88,7 @@
         });
     }
 
-    /** What may be in use now of what was granted here: never more than the part. */
+    /** The total of unexpired grants, which never exceeds this member's share. */
     public double outstanding(long nowNs) {
         removeExpired(nowNs);
         return holders.values().stream().mapToDouble(Holder::outstanding).sum();
--- a/fleet/src/main/java/holdmux/fleet/OutlierDetector.java
+++ b/fleet/src/main/java/holdmux/fleet/OutlierDetector.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * Which servers the fleet holds for bad, from what poolers report of late. One pooler's bad link ejects nobody: several
- * must say so, a share of those that have an opinion; and no more than a share of the servers is out at once, those that
- * most accuse first. Reports lapse, so a verdict that nobody bears out any more ends by itself. No clock and no I/O: times
- * are passed in. Not thread-safe.
+ * Fleet-wide outlier detection: decides which servers to eject from the health reports of all poolers. One pooler's broken
+ * link ejects no server: a minimum number and a minimum share of the reporting poolers must agree. At most a share of the
+ * servers is ejected at once, those with the most unhealthy reports first. Reports expire, so an ejection that is no longer
+ * supported ends by itself. Performs no I/O and reads no clock; times are passed in. Not thread-safe.
  */
 public final class OutlierDetector {
-    /** Opinions kept: 120 servers seen by 1,000 poolers; beyond, new ones are not taken until others lapse. */
+    /** Room for 120 servers reported by 1,000 poolers; beyond it, new reports are dropped until others expire. */
     static final int MAX_REPORTS = 200_000;
-    /** Sweeps in the time that a report counts. */
+    /** How often expired reports are removed during the lifetime of one report. */
     private static final int SWEEPS_PER_TTL = 16;
 
     private record Report(boolean unhealthy, long atNs) {}
@@ -29,10 +29,10 @@
     private boolean hasSwept;
 
     /**
-     * @param leastAccusers how many poolers must call a server bad, two at least
-     * @param accusingShare which share of those with an opinion on it that must be, 0 to 1
-     * @param mostOut       the share of all servers that may be out at once, 0 to 1
-     * @param lapseNs       how long a report counts
+     * @param minUnhealthyReports how many poolers must report a server unhealthy; at least two
+     * @param minUnhealthyShare   the share of the poolers with a current report on it that this must be, 0 to 1
+     * @param maxEjectedShare     the share of all servers that may be ejected at once, 0 to 1
+     * @param reportTtlNs         how long a report counts
      */
     public OutlierDetector(int minUnhealthyReports, double minUnhealthyShare, double maxEjectedShare, long reportTtlNs) {
         this.minUnhealthyReports = Math.max(2, minUnhealthyReports);
@@ -41,7 +41,7 @@
         this.reportTtlNs = reportTtlNs;
     }
 
-    /** A pooler's opinion of a server, from its own attempts there. */
+    /** Records a pooler's view of a server, based on its own attempts there; replaces the pooler's previous report. */
     public void report(String pooler, String server, boolean unhealthy, long nowNs) {
         sweep(nowNs);
         Map<String, Report> reports = reportsByServer.computeIfAbsent(server, s -> new HashMap<>());
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The servers that are held for bad now, each with how old the newest report against it is, in nanoseconds. */
+    /** The servers ejected now, each with the age of its newest unhealthy report in nanoseconds. */
     public Map<String, Long> ejectedServers(int serverCount, long nowNs) {
         Map<String, Long> unhealthyCounts = new HashMap<>();
         Map<String, Long> newestReportAgeNs = new HashMap<>();
@@ -63,14 +63,14 @@
             }
         });
         Map<String, Long> ejected = new HashMap<>();
-        // by name last, so that all who know the same tell the same
+        // ties are broken by name, so that members with equal reports eject the same servers
         unhealthyCounts.keySet().stream().sorted(Comparator.comparing((String server) -> -unhealthyCounts.get(server))
                 .thenComparing(Comparator.naturalOrder())).limit((long) (maxEjectedShare * serverCount))
                 .forEach(server -> ejected.put(server, newestReportAgeNs.get(server)));
         return ejected;
     }
 
-    /** Drops what has lapsed, seldom: a look at everything with each report would cost the square of the fleet. */
+    /** Removes expired reports, but not on every call: a full scan for each report would be quadratic in the fleet size. */
     private void sweep(long nowNs) {
         if (hasSwept && nowNs - lastSweepNs < reportTtlNs / SWEEPS_PER_TTL) {
             return;
