--- a/store/src/main/java/holdmux/store/ChecksummedFile.java
+++ b/store/src/main/java/holdmux/store/ChecksummedFile.java
@@ -13,17 +13,18 @@
 import java.util.Arrays;
 
 /**
- * A file that is whole or refused: eight bytes that name what it is and the form it is in, the payload's length (8
- * bytes, big endian), its SHA-256 (32 bytes), and the payload. Written beside its place, forced to disk and moved there.
+ * A file that detects truncation and corruption. Layout: eight bytes of magic, the last of them the format version; the
+ * payload length (8 bytes, big endian); the payload's SHA-256 (32 bytes); the payload. Writes go to a temporary file that
+ * is synced to disk and then renamed.
  */
 public final class ChecksummedFile {
     private static final int MAGIC_LENGTH = 8, HEADER_LENGTH = MAGIC_LENGTH + Long.BYTES + 32;
-    /** A snapshot of all that a history may hold, with room for the figures. */
+    /** Large enough for a snapshot of a history at all its limits. */
     private static final long MAX_BYTES = 256L << 20;
 
     private ChecksummedFile() {}
 
-    /** A file that cannot be used, and why, in the operator's words. */
+    /** Thrown for a file that cannot be used; the message is worded for the operator. */
     public static final class InvalidFileException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /** The payload of the file. {@code name}: eight characters, the last of them the form. */
+    /** Reads and verifies the payload; {@code magic} has eight characters, the last of them the format version. */
     public static byte[] read(Path file, String magic) throws IOException {
         long size = Files.size(file);
         if (size > MAX_BYTES) {
@@ -42,27 +43,27 @@
         String foundMagic = new String(bytes, 0, Math.min(MAGIC_LENGTH, bytes.length), StandardCharsets.ISO_8859_1);
         if (!foundMagic.equals(magic)) {
             boolean otherVersion = foundMagic.length() == MAGIC_LENGTH && foundMagic.startsWith(magic.substring(0, MAGIC_LENGTH - 1));
-            throw new InvalidFileException(file, otherVersion ? "is of form " + foundMagic.charAt(MAGIC_LENGTH - 1) + ", this program reads "
-                    + magic.charAt(MAGIC_LENGTH - 1) : "is no " + magic.substring(0, MAGIC_LENGTH - 1) + " file");
+            throw new InvalidFileException(file, otherVersion ? "is of form " + foundMagic.charAt(MAGIC_LENGTH - 1)
+                    + ", this program reads " + magic.charAt(MAGIC_LENGTH - 1) : "is no " + magic.substring(0, MAGIC_LENGTH - 1) + " file");
         }
         if (bytes.length < HEADER_LENGTH) {
-            throw new InvalidFileException(file, "is cut short within its head");
+            throw new InvalidFileException(file, "is truncated within its header");
         }
         ByteBuffer header = ByteBuffer.wrap(bytes, MAGIC_LENGTH, HEADER_LENGTH - MAGIC_LENGTH);
         long length = header.getLong();
         byte[] checksum = new byte[32];
         header.get(checksum);
         if (length != bytes.length - HEADER_LENGTH) {
-            throw new InvalidFileException(file, "is torn: " + (bytes.length - HEADER_LENGTH) + " bytes of " + length);
+            throw new InvalidFileException(file, "has " + (bytes.length - HEADER_LENGTH) + " bytes of payload, its header says " + length);
         }
         byte[] payload = Arrays.copyOfRange(bytes, HEADER_LENGTH, bytes.length);
         if (!Arrays.equals(checksum, digest(payload))) {
-            throw new InvalidFileException(file, "is torn: its checksum fails");
+            throw new InvalidFileException(file, "is corrupt: the checksum does not match");
         }
         return payload;
     }
 
-    /** Puts the payload in the file's place, whole or not at all. */
+    /** Replaces the file's content atomically. */
     public static void write(Path file, String magic, byte[] payload) throws IOException {
         Path temporary = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
--- a/store/src/main/java/holdmux/store/ConfirmationAge.java
+++ b/store/src/main/java/holdmux/store/ConfirmationAge.java
@@ -3,19 +3,20 @@
 import holdmux.store.wire.LastGood;
 
 /**
- * How old what a pooler kept is at its next start; the time it was down counts. Within one boot of the machine by its
- * monotonic clock, which all processes share; after another boot by the wall clock, and where that went back it is as old
- * as can be. No clock: times are passed in.
+ * Computes, at a pooler's start, the age of its last good version, including the time the pooler was down. Within one boot
+ * of the machine it uses the monotonic clock, which all processes share; after a reboot the wall clock, and if that went
+ * backwards the maximum age. Reads no clock; times are passed in.
  */
 public final class ConfirmationAge {
     private ConfirmationAge() {}
 
     /**
-     * @param boot   the machine's present boot, empty where it is not told
-     * @param nowNs  the monotonic clock
-     * @param unixMs the wall clock
-     * @param mostNs what to tell where nothing can be known
-     * @return nanoseconds since what was kept was confirmed
+     * @param lastGood the stored version and when it was last confirmed
+     * @param bootId   the machine's current boot ID, empty if unknown
+     * @param nowNs    the monotonic clock
+     * @param unixMs   the wall clock
+     * @param maxNs    the result if the age cannot be determined
+     * @return nanoseconds since the stored version was confirmed
      */
     public static long ageNs(LastGood lastGood, String bootId, long nowNs, long unixMs, long maxNs) {
         if (!bootId.isEmpty() && bootId.equals(lastGood.getBoot())) {
--- a/store/src/main/java/holdmux/store/Entry.java
+++ b/store/src/main/java/holdmux/store/Entry.java
@@ -1,28 +1,28 @@
 package holdmux.store;
 
-/** What the store's log holds, one entry a change; every member applies the same entries in the same order. */
+/** An entry of the store's replicated log; every member applies the same entries in the same order. */
 public sealed interface Entry {
-    /** A new version, to be checked and kept; it is not in force until an {@link Activate} names it. */
+    /** Adds a new version, which members then check; it is not in force until an {@link Activate} entry names it. */
     record Propose(PolicyVersion version) implements Entry {}
 
     /**
-     * Puts a kept version in force, a newer one or, as a roll-back, an older one.
+     * Puts a stored version in force: a newer one, or an older one as a rollback.
      *
-     * @param number  the version
-     * @param delayNs how long each pooler waits, on its own monotonic clock from when it learns of this entry, before
-     *                it switches; 0 to 60 s, so that poolers that learn at different times switch close together
-     * @param by      who asked, for the history
-     * @param quorum  how many members must have found the version valid: a majority of the voters, which the leader
-     *                writes in when it takes the entry, so that every member counts alike whenever it applies it
+     * @param number  the version number
+     * @param delayNs how long each pooler waits before it switches, on its own monotonic clock from when it learns of this
+     *                entry; 0 to 60 s, so that poolers that learn at different times switch close together
+     * @param by      who requested it, for the history
+     * @param quorum  how many members must have found the version valid: a majority of the voters, filled in by the leader
+     *                when it accepts the entry, so that every member applies the same number whenever it applies the entry
      */
     record Activate(long number, long delayNs, String by, int quorum) implements Entry {}
 
     /**
-     * What one member found when it checked a kept version with its own program.
+     * The result of one member's validation of a stored version with its own program version.
      *
-     * @param number  the version
-     * @param member  who checked
-     * @param problem empty where the member could serve under it, else the first problem
+     * @param number  the version number
+     * @param member  the member that validated it
+     * @param problem empty if the member can serve under it, otherwise the first problem found
      */
     record Checked(long number, String member, String problem) implements Entry {}
 }
--- a/store/src/main/java/holdmux/store/EntryCodec.java
+++ b/store/src/main/java/holdmux/store/EntryCodec.java
@@ -8,20 +8,21 @@
 import org.json.JSONObject;
 
 /**
- * Entries as the log keeps them: one JSON object in UTF-8, {@code {"propose":{number,basedOn,text,sha256,by}}},
- * {@code {"activate":{number,delayNs,by,quorum}}} or {@code {"checked":{number,member,problem}}}. JSON so that an operator can read a log entry as it stands.
+ * Encodes log entries as one JSON object in UTF-8: {@code {"propose":{number,basedOn,text,sha256,by}}},
+ * {@code {"activate":{number,delayNs,by,quorum}}} or {@code {"checked":{number,member,problem}}}. JSON lets an operator
+ * read an entry in the log file directly.
  */
 public final class EntryCodec {
-    /** A whole version, whose quotes JSON escapes, and its figures; anything longer is refused unread. */
+    /** A full version text, which JSON escaping may double, plus its other fields; longer input is rejected unparsed. */
     public static final int MAX_BYTES = 2 * PolicyVersion.MAX_BYTES + 16_384;
-    /** Who proposed or asked: a name, not a text. */
+    /** Maximum length of an operator's or a member's name, in characters. */
     static final int MAX_NAME_LENGTH = 200;
-    /** The first problem of a version in words; the rest of a long one helps nobody. */
+    /** Maximum length of a problem message, in characters; longer ones are truncated. */
     static final int MAX_PROBLEM_LENGTH = 1_000;
 
     private EntryCodec() {}
 
-    /** The entry as bytes of the log. */
+    /** Encodes an entry for the log. */
     public static byte[] encode(Entry entry) {
         JSONObject object = new JSONObject();
         if (entry instanceof Propose propose) {
@@ -40,19 +41,19 @@
     }
 
     /**
-     * The entry that the bytes hold.
+     * Decodes an entry.
      *
-     * @throws IllegalArgumentException for more than {@link #MAX_BYTES}, bytes that are not such an object, or a
-     *                                  name of more than 200 characters
+     * @throws IllegalArgumentException if there are more than {@link #MAX_BYTES} bytes, they are not such an object, or a
+     *                                  name has more than 200 characters
      */
     public static Entry decode(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
-            throw new IllegalArgumentException("an entry of " + bytes.length + " bytes, over " + MAX_BYTES);
+            throw new IllegalArgumentException("entry has " + bytes.length + " bytes, the limit is " + MAX_BYTES);
         }
         try {
             JSONObject object = new JSONObject(new String(bytes, StandardCharsets.UTF_8));
             if (object.length() != 1) {
-                throw new IllegalArgumentException("an entry is one of propose, activate or checked");
+                throw new IllegalArgumentException("an entry must have exactly one of the keys propose, activate and checked");
             }
             if (object.has("propose")) {
                 JSONObject v = object.getJSONObject("propose");
@@ -66,14 +67,14 @@
             JSONObject a = object.getJSONObject("activate");
             return new Activate(a.getLong("number"), a.getLong("delayNs"), readName(a, "by"), a.getInt("quorum"));
         } catch (JSONException e) {
-            throw new IllegalArgumentException("not an entry of the store: " + e.getMessage(), e);
+            throw new IllegalArgumentException("invalid store entry: " + e.getMessage(), e);
         }
     }
 
     private static String readName(JSONObject object, String key) {
         String name = object.getString(key);
         if (name.length() > MAX_NAME_LENGTH) {
-            throw new IllegalArgumentException("a name of " + name.length() + " characters, over " + MAX_NAME_LENGTH);
+            throw new IllegalArgumentException(key + " has " + name.length() + " characters, the limit is " + MAX_NAME_LENGTH);
         }
         return name;
     }
--- a/store/src/main/java/holdmux/store/EntryResult.java
+++ b/store/src/main/java/holdmux/store/EntryResult.java
@@ -1,10 +1,10 @@
 package holdmux.store;
 
 /**
- * Whether an entry is taken into the history; a refusal says why in words meant for the operator.
+ * The result of applying an entry to the history.
  *
- * @param accepted whether the history changes
- * @param reason   empty when accepted
+ * @param accepted whether the entry changes the history
+ * @param reason   why the entry is refused, worded for the operator; empty if accepted
  */
 public record EntryResult(boolean accepted, String reason) {
     static final EntryResult ACCEPTED = new EntryResult(true, "");
--- a/store/src/main/java/holdmux/store/FleetView.java
+++ b/store/src/main/java/holdmux/store/FleetView.java
@@ -10,30 +10,30 @@
 import java.util.TreeMap;
 
 /**
- * What poolers told one member of what they serve under: soft, in memory, refilled within a poll after a start. No clock:
- * times are passed in. Not thread-safe.
+ * The policy versions that poolers report to one member as being in force. Soft state in memory, rebuilt within one poll
+ * after a start. Reads no clock; times are passed in. Not thread-safe.
  */
 public final class FleetView {
-    /** Poolers remembered: ten times the largest fleet planned for; the one unheard of longest goes first. */
+    /** Ten times the largest supported fleet; beyond it the pooler with the oldest report is evicted. */
     static final int MAX_POOLERS = 10_000;
-    /** A pooler unheard of for so long is off the list: an hour's outage still shows who is missing. */
+    /** Poolers silent for an hour are dropped, so that a shorter outage still shows which poolers are missing. */
     static final long EXPIRY_NS = 3_600_000_000_000L;
 
     private record Report(Standing standing, long atNs) {}
 
     private final Map<String, Report> poolers = new LinkedHashMap<>();
 
-    /** A pooler told this. */
+    /** Stores a pooler's latest report. */
     public void update(Standing standing, long nowNs) {
         poolers.remove(standing.getPooler());
-        poolers.put(standing.getPooler(), new Report(standing, nowNs)); // the order is that of hearing
+        poolers.put(standing.getPooler(), new Report(standing, nowNs)); // keeps the map ordered by time of report
         Iterator<Report> oldest = poolers.values().iterator();
         while (nowNs - oldest.next().atNs() > EXPIRY_NS || poolers.size() > MAX_POOLERS) {
-            oldest.remove(); // ends at the latest with the one just put in
+            oldest.remove(); // stops at the latest at the entry just added
         }
     }
 
-    /** All of them with how long ago each was heard, by name. */
+    /** All known poolers, ordered by name, with the age of each report. */
     public Fleet toFleet(long nowNs) {
         Fleet.Builder fleet = Fleet.newBuilder();
         new TreeMap<>(poolers).forEach((name, report) -> fleet.addPoolers(Heard.newBuilder()
@@ -41,7 +41,7 @@
         return fleet.build();
     }
 
-    /** What several members were told, as one: of each pooler the latest word. */
+    /** Merges the views of several members, taking the latest report of each pooler. */
     public static List<Heard> merge(List<Fleet> fleets) {
         Map<String, Heard> latest = new TreeMap<>();
         fleets.forEach(fleet -> fleet.getPoolersList().forEach(heard -> latest.merge(heard.getStanding().getPooler(),
--- a/store/src/main/java/holdmux/store/PolicyDiff.java
+++ b/store/src/main/java/holdmux/store/PolicyDiff.java
@@ -10,11 +10,11 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** What differs between two policies, by key, whatever the order and spacing of their texts. */
+/** Compares two policies by key, ignoring the order and whitespace of their texts. */
 public final class PolicyDiff {
     private PolicyDiff() {}
 
-    /** A line for each key that differs: {@code key: old -> new}, with {@code (none)} where one lacks it. */
+    /** One line per differing key: {@code key: old -> new}, with {@code (none)} for a missing key. */
     public static List<String> lines(String oldText, String newText) {
         Map<String, String> before = flatten(oldText);
         Map<String, String> after = flatten(newText);
--- a/store/src/main/java/holdmux/store/PolicyHistory.java
+++ b/store/src/main/java/holdmux/store/PolicyHistory.java
@@ -8,37 +8,36 @@
 import java.util.Optional;
 
 /**
- * The store's state: every version kept, every activation and every member's check, in the order of the log.
- * Immutable, so that a step of a member or of the checker copies little, and without clock or I/O: members that apply
- * the same entries hold equal histories. Nothing here rests on the member that applies: its own finding about a version
- * comes in as an entry of its own.
+ * The replicated state of the store: all versions, activations and members' checks, in log order. Immutable, so that
+ * applying an entry copies little, and free of clocks and I/O, so that members that apply the same entries hold equal
+ * histories. It depends on nothing local to the applying member: a member's own validation result arrives as a
+ * {@link Checked} entry.
  *
- * @param versions    kept versions, numbered 1, 2, ... in this order; the oldest are pruned to their figures
- * @param activations activations in the order they were applied, the last of them in force; the newest {@link
- *                    #MOST_ACTIVATIONS}
- * @param checks      what members found of versions whose text is kept, one for each version and member
+ * @param versions    stored versions, numbered 1, 2, ... in this order; the texts of the oldest are pruned
+ * @param activations the newest {@link #MAX_ACTIVATIONS} activations in the order they were applied; the last is in force
+ * @param checks      members' validation results for versions whose text is stored, one per version and member
  */
 public record PolicyHistory(List<PolicyVersion> versions, List<Activation> activations, List<Checked> checks) {
-    /** The most a pooler may be asked to wait before it switches. */
+    /** The maximum delay before poolers switch to an activated version. */
     public static final long MAX_DELAY_NS = 60_000_000_000L;
-    /** Versions listed: figures alone take some 300 bytes each, and nobody changes policy ten times a day for years. */
+    /** Versions listed, pruned ones included; a pruned version takes about 300 bytes, and this allows years of changes. */
     public static final int MAX_VERSIONS = 10_000;
-    /** Text kept, in characters: a member's memory holds it, and each snapshot writes it. The oldest goes first. */
+    /** Total length of stored texts in characters; all are held in memory and written to each snapshot. Oldest pruned first. */
     static final int MAX_TEXT_LENGTH = 16 << 20;
-    /** Activations kept: what the history shows; the serial goes on. */
+    /** Activations stored for the history; serial numbers continue beyond it. */
     static final int MAX_ACTIVATIONS = 1_000;
 
-    /** The history of a new store: nothing kept, nothing in force. */
+    /** The history of a new store: no versions, nothing in force. */
     public static final PolicyHistory EMPTY = new PolicyHistory(List.of(), List.of(), List.of());
 
     /**
-     * One version put in force.
+     * A version put in force.
      *
-     * @param number  the version
-     * @param delayNs as the entry told it
-     * @param serial  1 for the first activation, one more for each after it: a pooler that has seen serial k has
-     *                seen all before it
-     * @param by      who asked
+     * @param number  the version number
+     * @param delayNs how long poolers wait before they switch, see {@link Activate}
+     * @param serial  1 for the first activation and one more for each after it; a pooler that has seen serial k has nothing
+     *                to learn from earlier ones
+     * @param by      who requested it
      */
     public record Activation(long number, long delayNs, long serial, String by) {}
 
@@ -48,12 +47,12 @@
         checks = List.copyOf(checks);
     }
 
-    /** The newest version kept, 0 for none. */
+    /** The number of the newest version, 0 if there is none. */
     public long newestNumber() {
         return versions.size();
     }
 
-    /** The version of that number, if kept. */
+    /** The version with this number, if stored. */
     public Optional<PolicyVersion> version(long number) {
         return number >= 1 && number <= versions.size() ? Optional.of(versions.get((int) number - 1))
                 : Optional.empty();
@@ -64,12 +63,12 @@
         return activations.isEmpty() ? Optional.empty() : Optional.of(activations.get(activations.size() - 1));
     }
 
-    /** What members found of a version, in the order they told it. */
+    /** Members' validation results for a version, in log order. */
     public List<Checked> checks(long number) {
         return checks.stream().filter(c -> c.number() == number).toList();
     }
 
-    /** Whether the entry may be applied to this history; the same on every member, which is why no validator is asked. */
+    /** Whether the entry may be applied; deterministic on every member, so the validator is not consulted here. */
     public EntryResult check(Entry entry) {
         if (entry instanceof Propose propose) {
             return check(propose.version());
@@ -87,10 +86,10 @@
                     + newestNumber() + " was kept meanwhile" + proposer(newestNumber()) + "; look at the difference and propose again");
         }
         if (version.isPruned() || !version.isIntact()) {
-            return EntryResult.refused("version " + version.number() + " does not match its checksum: torn on its way");
+            return EntryResult.refused("version " + version.number() + " does not match its checksum: corrupted in transit");
         }
         if (versions.size() >= MAX_VERSIONS) {
-            return EntryResult.refused(MAX_VERSIONS + " versions are kept already: begin a new store");
+            return EntryResult.refused("the limit of " + MAX_VERSIONS + " versions is reached: create a new store");
         }
         return EntryResult.ACCEPTED;
     }
@@ -98,13 +97,13 @@
     private EntryResult check(Activate activate) {
         PolicyVersion version = version(activate.number()).orElse(null);
         if (version == null) {
-            return EntryResult.refused("version " + activate.number() + " is not kept; the newest is " + newestNumber());
+            return EntryResult.refused("version " + activate.number() + " does not exist; the newest is " + newestNumber());
         }
         if (version.isPruned()) {
             return EntryResult.refused("version " + activate.number() + " is too old: its text is no longer kept");
         }
         if (activate.delayNs() < 0 || activate.delayNs() > MAX_DELAY_NS) {
-            return EntryResult.refused("a delay of " + activate.delayNs() + " ns is outside 0 to " + MAX_DELAY_NS);
+            return EntryResult.refused("a delay of " + activate.delayNs() + " ns is outside the range 0 to " + MAX_DELAY_NS);
         }
         if (active().map(a -> a.number() == activate.number()).orElse(false)) {
             return EntryResult.refused("version " + activate.number() + " is in force already");
@@ -124,12 +123,12 @@
     private EntryResult check(Checked checked) {
         PolicyVersion version = version(checked.number()).orElse(null);
         if (version == null || version.isPruned()) {
-            return EntryResult.refused("version " + checked.number() + " is not kept");
+            return EntryResult.refused("version " + checked.number() + " does not exist or is pruned");
         }
-        return checks.contains(checked) ? EntryResult.refused("told already") : EntryResult.ACCEPTED;
+        return checks.contains(checked) ? EntryResult.refused("already recorded") : EntryResult.ACCEPTED;
     }
 
-    /** The history with the entry applied where {@link #check} accepts it, else this same history. */
+    /** The history with the entry applied if {@link #check} accepts it, otherwise this history unchanged. */
     public PolicyHistory apply(Entry entry) {
         if (!check(entry).accepted()) {
             return this;
@@ -141,7 +140,7 @@
         }
         if (entry instanceof Checked checked) {
             List<Checked> updated = new ArrayList<>(checks);
-            // a member that runs another version of the program meanwhile may find otherwise
+            // a member that has been upgraded or downgraded may reach a different result for the same version
             updated.removeIf(c -> c.number() == checked.number() && c.member().equals(checked.member()));
             updated.add(checked);
             return new PolicyHistory(versions, activations, updated);
@@ -153,7 +152,7 @@
         return new PolicyHistory(versions, updated.subList(Math.max(0, updated.size() - MAX_ACTIVATIONS), updated.size()), checks);
     }
 
-    /** Drops the text of the oldest versions beyond {@link #MAX_TEXT_LENGTH}, never of the newest or the one in force. */
+    /** Prunes the oldest texts beyond {@link #MAX_TEXT_LENGTH}, but never the newest version or the one in force. */
     private List<PolicyVersion> prune(List<PolicyVersion> all) {
         long textLength = all.stream().mapToLong(v -> v.text().length()).sum();
         long inForce = active().map(Activation::number).orElse(0L);
--- a/store/src/main/java/holdmux/store/PolicyText.java
+++ b/store/src/main/java/holdmux/store/PolicyText.java
@@ -13,22 +13,22 @@
 import org.json.JSONObject;
 
 /**
- * What the text of a policy says: {@code {"settings":{...},"discovery":"10.0.0.1:8500","excluded":["s-1"],
- * "evacuated":["pooler-7"]}}, all but {@code settings} optional.
+ * The parsed text of a policy: {@code {"settings":{...},"discovery":"10.0.0.1:8500","excluded":["s-1"],
+ * "evacuated":["pooler-7"]}}, where all keys but {@code settings} are optional.
  *
- * @param settings  the {@code settings} object of a pooler's configuration; the keys that are each pooler's own
- *                  ({@link SettingsReader#LOCAL_KEYS}) count from its file, whatever stands here
- * @param discovery where the server list is asked for, null to leave that to each pooler's file
- * @param excluded  servers that every pooler leaves out, by name, beside those its own operators left out
- * @param evacuated poolers, by name, that send their clients away
+ * @param settings  the {@code settings} object of a pooler's configuration; local keys ({@link SettingsReader#LOCAL_KEYS})
+ *                  are always taken from the pooler's own file
+ * @param discovery the discovery agent's address, null to use the one in each pooler's file
+ * @param excluded  names of servers that every pooler excludes, in addition to those excluded by its own operators
+ * @param evacuated names of poolers that send their clients away
  */
 public record PolicyText(JSONObject settings, InetSocketAddress discovery, Set<String> excluded, Set<String> evacuated) {
     private static final List<String> KEYS = List.of("settings", "discovery", "excluded", "evacuated");
 
     /**
-     * Reads and checks a text as {@code serve} would take it up.
+     * Parses and validates a policy text with the same checks that {@code serve} applies to its configuration.
      *
-     * @throws ConfigException with the first problem, in the operator's words
+     * @throws ConfigException describing the first problem, worded for the operator
      */
     public static PolicyText read(String text) {
         try {
--- a/store/src/main/java/holdmux/store/PolicyVersion.java
+++ b/store/src/main/java/holdmux/store/PolicyVersion.java
@@ -7,16 +7,16 @@
 import java.util.Objects;
 
 /**
- * One whole policy as the operators proposed it, as text (see {@link PolicyText}).
+ * One complete policy as proposed by an operator, in text form (see {@link PolicyText}).
  *
- * @param number  the version, 1 for the first; each is one more than the version it was made from
- * @param basedOn the version that the proposer saw as the newest when it was made, 0 for none
+ * @param number  the version number, starting at 1; one more than the version it is based on
+ * @param basedOn the newest version when this one was made, 0 if there was none
  * @param text    JSON, at most {@link #MAX_BYTES} bytes of UTF-8; empty once {@linkplain #pruned pruned}
- * @param sha256  SHA-256 of {@code text} in UTF-8, 64 hex digits: what every member checks before it accepts
- * @param by      who proposed it, for the history; any text of at most 200 characters
+ * @param sha256  SHA-256 of {@code text} in UTF-8 as 64 hex digits, verified by every member before it accepts the version
+ * @param by      who proposed it, for the history; at most 200 characters
  */
 public record PolicyVersion(long number, long basedOn, String text, String sha256, String by) {
-    /** A pooler's file is read up to 1 MiB; a policy is the larger part of it. */
+    /** Same as the limit of 1 MiB on a pooler's configuration file, most of which a policy replaces. */
     public static final int MAX_BYTES = 1 << 20;
 
     public PolicyVersion {
@@ -25,7 +25,7 @@
         Objects.requireNonNull(by, "by");
     }
 
-    /** A version with its checksum computed from the text. */
+    /** Creates a version and computes its checksum. */
     public static PolicyVersion of(long number, long basedOn, String text, String by) {
         return new PolicyVersion(number, basedOn, text, checksum(text), by);
     }
@@ -40,22 +40,22 @@
         }
     }
 
-    /** Whether the checksum is that of the text: false for a version torn or changed on its way. */
+    /** Whether the checksum matches the text; false for a version corrupted in transit or storage. */
     public boolean isIntact() {
         return checksum(text).equals(sha256);
     }
 
-    /** What is left of a version that is too old to be rolled back to: its number, checksum and proposer. */
+    /** This version without its text, which makes rollback to it impossible; number, checksum and proposer remain. */
     PolicyVersion pruned() {
         return new PolicyVersion(number, basedOn, "", sha256, by);
     }
 
-    /** Whether the text is gone. */
+    /** Whether the text has been removed. */
     public boolean isPruned() {
         return text.isEmpty();
     }
 
-    /** The first twelve digits of the checksum, as logs and {@code SHOW STATS} name a version beside its number. */
+    /** The first twelve digits of the checksum, shown beside the version number in logs and {@code SHOW STATS}. */
     public String shortChecksum() {
         return sha256.substring(0, Math.min(12, sha256.length()));
     }
--- a/store/src/main/java/holdmux/store/PolicyView.java
+++ b/store/src/main/java/holdmux/store/PolicyView.java
@@ -4,25 +4,27 @@
 import java.util.ArrayDeque;
 
 /**
- * One pooler's view of the policy in force: what it serves under, when it switches, and when it must stop because it
- * has been cut off from the store for longer than the bound. No clock and no I/O: the time is passed in, in
- * nanoseconds of the pooler's own monotonic clock, which need not agree with any other pooler's.
+ * One pooler's view of the policy: the version it serves under, when it switches, and when it must stop because it has been
+ * disconnected from the store for longer than the staleness bound. Performs no I/O and reads no clock; times are
+ * nanoseconds of the pooler's monotonic clock, which need not agree with any other pooler's.
  *
- * <p>The store tells only what is committed; a pooler therefore never acts on a version that is not. A pooler that
- * hears within the bound switches {@code delayNs} after it heard of an activation; one that starts or comes back from
- * longer than the bound switches at once, since it did not serve meanwhile. Where several activations wait, the newest
- * that is due is put in force: a pooler serves what was newest at the store when it heard it, {@code delayNs} before. Not
- * thread-safe: its host keeps it behind one lock and swaps the settings that a decision names as one immutable snapshot.
+ * <p>The store reports only committed activations, so a pooler never acts on an uncommitted one. A pooler in contact with
+ * the store switches {@code delayNs} after it learns of an activation; one that starts, or reconnects after more than the
+ * staleness bound, switches immediately, since it did not serve in the meantime. If several activations are pending, the
+ * newest that is due is put in force: a pooler serves the version that was newest at the store when it was heard of,
+ * {@code delayNs} earlier. Not thread-safe: the owner guards it with one lock and swaps the settings that a decision uses
+ * as one immutable snapshot.
  */
 public final class PolicyView {
-    /** What the pooler does at a moment. */
+    /** Whether the pooler serves or refuses new requests at a given time. */
     public sealed interface State {
-        /** The version served under, or null where there is none. */
+        /** The version in force, or null if there is none. */
         PolicyVersion version();
 
         /**
-         * Time since what is in force was last confirmed: across restarts too, where the pooler kept that with its
-         * file, so that one cut off cannot serve an old version a bound for each start. Time it was down counts.
+         * Time since the version in force was last confirmed. It continues across restarts, downtime included, because the
+         * pooler stores it with its last good version; otherwise each restart of a disconnected pooler would renew the
+         * staleness bound.
          */
         long ageNs();
     }
@@ -30,18 +32,20 @@
     /**
      * New requests are served under this version.
      *
-     * @param serial    the activation that put it in force, 0 for the version kept from before the start
+     * @param version   the version in force
+     * @param serial    the activation that put it in force, 0 for the last good version loaded at the start
      * @param ageNs     see {@link State#ageNs}
-     * @param confirmed whether the store has answered since the start
+     * @param confirmed whether a majority of the store has answered since the start
      */
-    public record Serve(PolicyVersion version, long serial, long ageNs, boolean confirmed) implements State {}
+    public record Serving(PolicyVersion version, long serial, long ageNs, boolean confirmed) implements State {}
 
-    /** New requests are refused, another pooler may take them: the version may be out of date by more than the bound. */
-    public record Refuse(PolicyVersion version, long ageNs, String reason) implements State {}
+    /** New requests are refused: the version may be out of date by more than the bound. Other poolers may serve them. */
+    public record Refusing(PolicyVersion version, long ageNs, String reason) implements State {}
 
     /**
-     * Activations that may wait at once: one a round trip to the store, for at most a delay of 60 s. Sixteen changes
-     * within one delay are beyond any operator; the oldest then goes unserved, as a newer one stands behind it.
+     * Maximum number of pending activations. At most one is learned per round trip to the store, and each waits 60 s at
+     * most; operators do not make sixteen changes within one delay. Beyond it the oldest is dropped, as a newer one
+     * supersedes it.
      */
     static final int MAX_PENDING = 16;
 
@@ -52,21 +56,21 @@
     private final long initialAgeNs;
     private PolicyVersion currentVersion;
     private long currentSerial;
-    /** Activations heard of and not in force yet, oldest first; see {@link #MAX_PENDING}. */
+    /** Known activations that are not in force yet, oldest first; at most {@link #MAX_PENDING}. */
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     private long seenSerial;
     private long lastConfirmedNs;
     private boolean everConfirmed;
 
     /**
-     * @param lastGood the version that this pooler served last, as kept in its own file, or null
-     * @param spentNs  the {@link State#ageNs} at the start, 0 where no version was kept
-     * @param boundNs  how long a pooler cut off from the store may serve a version that it cannot confirm; positive
-     * @param startNs  the start, on the pooler's clock
+     * @param lastGood         the version stored by this pooler before its restart, or null
+     * @param initialAgeNs     the {@link State#ageNs} at the start, 0 if no version was stored
+     * @param stalenessBoundNs how long a pooler may serve a version that it cannot confirm; positive
+     * @param startNs          the start time on the pooler's clock
      */
     public PolicyView(PolicyVersion lastGood, long initialAgeNs, long stalenessBoundNs, long startNs) {
         if (stalenessBoundNs <= 0 || initialAgeNs < 0) {
-            throw new IllegalArgumentException("the bound must be positive and the time spent not negative: "
+            throw new IllegalArgumentException("the staleness bound must be positive and the initial age not negative: "
                     + stalenessBoundNs + ", " + initialAgeNs);
         }
         this.currentVersion = lastGood;
@@ -76,10 +80,11 @@
     }
 
     /**
-     * A member of the store told the activation in force there and its version, both committed; {@code active} is null
-     * where nothing was ever activated. What is known already needs no version. One whose checksum fails is not taken.
+     * Processes a member's answer: the activation in force there and its version, both committed. {@code active} is null if
+     * nothing has been activated yet, and {@code version} may be null if the activation is already known. A version that
+     * does not match its checksum or the activation is rejected.
      *
-     * @return whether the answer was taken
+     * @return whether the answer was accepted
      */
     public boolean update(Activation active, PolicyVersion version, long nowNs) {
         if (active == null || active.serial() <= seenSerial) {
@@ -102,7 +107,7 @@
         return true;
     }
 
-    /** Nothing that was put in force before this moment is unknown here (see {@link Quorum}). */
+    /** Records that every activation committed before {@code atNs} is known here (see {@link Quorum}). */
     public void confirm(long atNs) {
         if (!everConfirmed || atNs - lastConfirmedNs > 0) {
             lastConfirmedNs = atNs;
@@ -110,14 +115,14 @@
         }
     }
 
-    /** What new requests meet at this moment; switches first where an activation's delay has passed. */
+    /** The state at this time; first switches to the newest pending activation whose delay has passed. */
     public State stateAt(long nowNs) {
         Pending due = null;
         for (Pending next : pending) {
             due = nowNs - next.dueNs() >= 0 ? next : due;
         }
         while (due != null && pending.removeFirst() != due) {
-            // older ones are overtaken by the newest that is due
+            // drops older activations superseded by the newest that is due
         }
         if (due != null) {
             currentVersion = due.version();
@@ -125,18 +130,18 @@
         }
         long ageNs = everConfirmed ? nowNs - lastConfirmedNs : nowNs - startNs + initialAgeNs;
         if (currentVersion == null) {
-            return new Refuse(null, ageNs, "no policy yet: the store has not been reached and none was kept");
+            return new Refusing(null, ageNs, "no policy yet: the store has not answered and no last good version is stored");
         }
         if (ageNs > stalenessBoundNs) {
-            return new Refuse(currentVersion, ageNs, "cut off from the store for " + ageNs / 1_000_000 + " ms, over the bound of "
+            return new Refusing(currentVersion, ageNs, "disconnected from the store for " + ageNs / 1_000_000 + " ms, over the bound of "
                     + stalenessBoundNs / 1_000_000 + " ms: version " + currentVersion.number() + " may be out of date");
         }
-        return new Serve(currentVersion, currentSerial, ageNs, everConfirmed);
+        return new Serving(currentVersion, currentSerial, ageNs, everConfirmed);
     }
 
-    /** Until when what {@link #stateAt} told at this moment holds if nothing more is heard; this moment for a refusal. */
+    /** Until when {@link #stateAt} gives the same result if nothing more is learned; {@code nowNs} if it refuses. */
     public long validUntil(long nowNs) {
-        if (!(stateAt(nowNs) instanceof Serve serving)) {
+        if (!(stateAt(nowNs) instanceof Serving serving)) {
             return nowNs;
         }
         long until = nowNs + stalenessBoundNs - serving.ageNs() + 1;
@@ -147,24 +152,24 @@
     }
 
     /**
-     * What to keep for the next start: the version heard of last, even if its delay has not passed. Kept with when the
-     * store was last heard, an older one would be served for a bound anew after a restart within the delay.
+     * The version to store for the next start: the newest known, even if its delay has not passed. Storing an older one
+     * together with the last confirmation time would let a restart within the delay serve it for a full staleness bound.
      */
     public PolicyVersion newestVersion() {
         return pending.isEmpty() ? currentVersion : pending.getLast().version();
     }
 
-    /** The newest activation that this pooler has heard of, in force or not; 0 for none. */
+    /** The serial of the newest known activation, in force or not; 0 if there is none. */
     public long seenSerial() {
         return seenSerial;
     }
 
-    /** The newest activation heard of and not yet in force, if any. */
+    /** The newest known activation that is not in force yet, or null. */
     public Activation pending() {
         return pending.isEmpty() ? null : pending.getLast().activation();
     }
 
-    /** Whether this pooler has served under what the store confirmed, without a gap over the bound. */
+    /** Whether the store has confirmed this pooler's view within the staleness bound, so that it has kept serving. */
     private boolean isFresh(long nowNs) {
         return everConfirmed && nowNs - lastConfirmedNs <= stalenessBoundNs;
     }
--- a/store/src/main/java/holdmux/store/Quorum.java
+++ b/store/src/main/java/holdmux/store/Quorum.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 
 /**
- * Up to when a pooler knows what is in force, from the answers of single members. What was put in force before a moment is
- * in the logs of a majority by then. A member that had applied all of its log when it was asked after that moment tells
- * it if it is one of them, and any majority has one of them. So once a majority has answered questions asked at or after
- * a moment, nothing put in force before it is unknown here, whoever leads, and whatever clocks, pauses and partitions do:
- * no leader is asked, since one that was stopped for a minute still believes that it leads. No clock: times are passed in.
- * Not thread-safe.
+ * Determines, from the answers of individual members, up to which time a pooler knows every committed activation. An
+ * activation committed before time T is in the logs of a majority by then. A member that is in that majority and had applied
+ * its whole log when asked at or after T reports it, and any two majorities share a member. So once a majority has answered
+ * requests sent at or after T, every activation committed before T is known here, regardless of leadership, clocks, pauses
+ * and partitions. The leader alone is not trusted, because one that was paused may still believe that it leads. Reads no
+ * clock; times are passed in. Not thread-safe.
  */
 public final class Quorum {
     private final Map<String, Long> lastAskedNs = new HashMap<>();
 
-    /** This member answered a question asked then, having applied all of its log. */
+    /** Records an answer to a request sent at {@code askedNs} by a member that had applied its whole log. */
     public void answered(String member, long askedNs) {
         lastAskedNs.merge(member, askedNs, (a, b) -> b - a > 0 ? b : a);
     }
 
-    /** Whether a majority of these has answered at all. */
+    /** Whether a majority of these members has answered at least once. */
     public boolean isMajority(Collection<String> members) {
         return 2 * members.stream().filter(lastAskedNs::containsKey).count() > members.size();
     }
 
-    /** The latest moment at or after which a majority of these members was asked and answered; they must be one. */
+    /** The latest time at or after which a majority was asked and has answered; requires {@link #isMajority}. */
     public long confirmedNs(Collection<String> members) {
         long[] asked = members.stream().filter(lastAskedNs::containsKey).mapToLong(lastAskedNs::get).toArray();
         Arrays.sort(asked);
--- a/store/src/main/java/holdmux/store/host/StoreExtension.java
+++ b/store/src/main/java/holdmux/store/host/StoreExtension.java
@@ -3,22 +3,22 @@
 import holdmux.config.ConfigException;
 import holdmux.core.Clock;
 import holdmux.core.Counters.Counter;
+import holdmux.core.Extension;
 import holdmux.core.Front;
 import holdmux.core.Log;
-import holdmux.core.Extension;
-import holdmux.core.Services;
 import holdmux.core.PolicyControl;
+import holdmux.core.Services;
 import holdmux.core.Upstream;
-import holdmux.store.ProtoMapper;
+import holdmux.store.ChecksummedFile;
 import holdmux.store.ConfirmationAge;
 import holdmux.store.PolicyText;
 import holdmux.store.PolicyVersion;
 import holdmux.store.PolicyView;
-import holdmux.store.PolicyView.Refuse;
-import holdmux.store.PolicyView.Serve;
+import holdmux.store.PolicyView.Refusing;
+import holdmux.store.PolicyView.Serving;
 import holdmux.store.PolicyView.State;
+import holdmux.store.ProtoMapper;
 import holdmux.store.Quorum;
-import holdmux.store.ChecksummedFile;
 import holdmux.store.Validator;
 import holdmux.store.raft.Members;
 import holdmux.store.raft.StoreClient;
@@ -40,42 +40,43 @@
 import java.util.function.Function;
 
 /**
- * Keeps one pooler under the fleet's policy: follows the store, switches when {@link PolicyView} says so, keeps the last
- * good version on disk and closes the pooler to new requests where it must not serve. A member of the store too, where it
- * is one.
+ * Applies the fleet's policy to one pooler: polls the store, switches versions as {@link PolicyView} decides, stores the
+ * last good version on disk and refuses new requests when the pooler must not serve. Also runs the pooler's own store
+ * member, if it has one.
  */
 public final class StoreExtension implements Extension {
-    /** The file of the last good version: what it is and its form. */
+    /** Magic of the file that holds the last good version; the last character is the format version. */
     private static final String FILE_MAGIC = "lastgod1";
-    /** Parts of the bound: a poll is held for one at most; the last confirmation is kept as often. */
+    /** A poll is held for at most the staleness bound divided by this; the last confirmation is stored as often. */
     private static final int POLLS_PER_BOUND = 10;
-    /** How long a start waits for the store before it serves under its last good version, in parts of the bound. */
+    /** A start waits for the store for at most the staleness bound divided by this, then serves the last good version. */
     private static final int START_WAIT_DIVISOR = 5;
     private static final long MAX_POLL_HOLD_MS = 1_000, MIN_CALL_TIMEOUT_MS = 500, MIN_RETRY_MS = 100, MAX_RETRY_MS = 1_000,
             MEMBER_RETRY_MS = 5_000, MAX_START_WAIT_MS = 3_000;
 
     private final StoreOptions options;
-    private final CountDownLatch heard = new CountDownLatch(1);
+    private final CountDownLatch firstConfirmation = new CountDownLatch(1);
     private PolicyControl control;
     private Clock clock;
     private PolicyView view;
     private final Quorum quorum = new Quorum();
-    /** The store's members, as the one that has applied most has them. */
+    /** The voting members according to the answer with the highest applied index. */
     private List<String> voters = List.of();
     private long highestApplied;
-    /** All members that this pooler was ever told of, and those that it asks. */
+    /** All members known so far, and those that this pooler polls. */
     private Members knownMembers;
     private final Set<String> followed = new HashSet<>();
-    /** What is in force in the pooler, and since when; a version that it could not take up, and why. */
+    /** The version in force in this pooler and since when; why it cannot be applied, or empty. */
     private PolicyVersion inForce;
     private long inForceSerial, inForceNs;
     private String unusableReason = "";
     private LastGood lastGood = LastGood.getDefaultInstance();
     private final String bootId = bootId();
     private volatile String closedReason = "";
-    /** Until then nothing new needs to be looked at before a request is taken. */
+    /** Requests are admitted without consulting the view until then. */
     private volatile long stateValidUntilNs;
 
+    /** Creates the extension; {@link #start} begins to follow the store. */
     public StoreExtension(StoreOptions options) {
         this.options = options;
         knownMembers = options.members();
@@ -104,23 +105,25 @@
         lastGood = load();
         PolicyVersion lastVersion = lastGood.hasVersion() ? ProtoMapper.toVersion(lastGood.getVersion()) : null;
         long stalenessBoundNs = options.stalenessBound().toNanos();
-        view = new PolicyView(lastVersion, ConfirmationAge.ageNs(lastGood, bootId, System.nanoTime(), System.currentTimeMillis(), 2 * stalenessBoundNs),
-                stalenessBoundNs, clock.now());
+        view = new PolicyView(lastVersion, ConfirmationAge.ageNs(lastGood, bootId, System.nanoTime(), System.currentTimeMillis(),
+                2 * stalenessBoundNs), stalenessBoundNs, clock.now());
         stateValidUntilNs = clock.now();
         control.setAdmissionGate(this::closedReason);
-        control.addStat("policy_version", () -> readState(state -> state.version() == null ? "0" : Long.toString(state.version().number())));
+        control.addStat("policy_version",
+                () -> readState(state -> state.version() == null ? "0" : Long.toString(state.version().number())));
         control.addStat("policy_checksum", () -> readState(state -> state.version() == null ? "none" : state.version().shortChecksum()));
         control.addStat("policy_age_ms", () -> readState(state -> Long.toString(state.ageNs() / Clock.MS)));
-        control.addStat("policy_state", () -> readState(state -> state instanceof Serve serving && unusableReason.isEmpty()
+        control.addStat("policy_state", () -> readState(state -> state instanceof Serving serving && unusableReason.isEmpty()
                 ? serving.confirmed() ? "confirmed" : "unconfirmed" : "closed"));
         if (options.memberId() != null) {
             startDaemon("store-member", this::runMember);
         }
         options.members().names().forEach(this::startFollowing);
         startDaemon("policy-keep", this::runPersistence);
-        if (!heard.await(Math.min(MAX_START_WAIT_MS, options.stalenessBound().toMillis() / START_WAIT_DIVISOR), TimeUnit.MILLISECONDS)) {
-            Log.warn("policy: the store has not answered; " + (lastVersion == null ? "closed until it does"
-                    : "begins under version " + lastVersion.number() + ", kept from before"));
+        if (!firstConfirmation.await(Math.min(MAX_START_WAIT_MS, options.stalenessBound().toMillis() / START_WAIT_DIVISOR),
+                TimeUnit.MILLISECONDS)) {
+            Log.warn("policy: the store has not answered; " + (lastVersion == null ? "new requests are refused until it does"
+                    : "starting under the last good version " + lastVersion.number()));
         }
         refresh();
     }
@@ -131,9 +134,9 @@
         thread.start();
     }
 
-    // ---- The member of the store ----
+    // ---- Store member ----
 
-    /** Starts the member, time and again where it cannot: the pooler serves without it, following the others. */
+    /** Starts the member and retries on failure; meanwhile the pooler serves without it, polling the others. */
     private void runMember() {
         StoreMember member = null;
         while (true) {
@@ -142,15 +145,15 @@
                     member = new StoreMember(options.memberId(), options.members(), options.listenAddress() == null
                             ? options.members().address(options.memberId()) : options.listenAddress(), options.directory().resolve("log"),
                             options.bootstrap(), Validator.POLICY);
-                    Log.info("store: member " + options.memberId() + " takes part");
+                    Log.info("store: member " + options.memberId() + " has started");
                 } else if (!member.failure().isEmpty()) {
-                    Log.warn("store: member " + options.memberId() + " is started again: " + member.failure());
+                    Log.warn("store: member " + options.memberId() + " is restarted: " + member.failure());
                     StoreMember failed = member;
                     member = null;
                     failed.close();
                 }
             } catch (IOException | RuntimeException e) {
-                Log.warn("store: member " + options.memberId() + " takes no part: " + e.getMessage());
+                Log.warn("store: member " + options.memberId() + " cannot start: " + e.getMessage());
             }
             pause(MEMBER_RETRY_MS);
         }
@@ -164,7 +167,7 @@
         }
     }
 
-    // ---- Following ----
+    // ---- Polling ----
 
     private synchronized void startFollowing(String member) {
         if (followed.add(member)) {
@@ -172,28 +175,28 @@
         }
     }
 
-    /** Asks one member what is in force, for ever; every member is asked by a thread of its own. */
+    /** Polls one member for the policy in force, forever; each member has its own thread. */
     private void follow(String member) {
         long holdMs = Math.min(MAX_POLL_HOLD_MS, options.stalenessBound().toMillis() / POLLS_PER_BOUND);
         long retryMs = 0;
         try (StoreClient client = new StoreClient(knownMembers(), Math.max(MIN_CALL_TIMEOUT_MS, holdMs), holdMs)) {
             while (true) {
-                // what is heard is as old as the question
+                // an answer is only as recent as its question
                 long askedNs = clock.now();
                 try {
-                    heard(member, client.ask(Question.newBuilder().setPoll(Poll.newBuilder().setStanding(currentStanding())
-                            .setSeenSerial(seenSerial()).setHoldMs(heard.getCount() > 0 ? 0 : (int) holdMs)).build(),
+                    processAnswer(member, client.ask(Question.newBuilder().setPoll(Poll.newBuilder().setStanding(currentStanding())
+                            .setSeenSerial(seenSerial()).setHoldMs(firstConfirmation.getCount() > 0 ? 0 : (int) holdMs)).build(),
                             member), askedNs);
                     retryMs = 0;
-                    if (heard.getCount() > 0) {
-                        pause(MIN_RETRY_MS); // not held, and nobody else has confirmed it yet
+                    if (firstConfirmation.getCount() > 0) {
+                        pause(MIN_RETRY_MS); // polls are not held until the first confirmation
                     }
                 } catch (IOException | RuntimeException e) {
                     control.services().counters().count(Counter.POLICY_POLLS_FAILED);
                     if (retryMs == 0) {
                         Log.warn("policy: member " + member + " does not answer: " + e.getMessage());
                     }
-                    // one that was taken out of the store may be down for good
+                    // a member removed from the store may be down permanently, hence the back-off
                     retryMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, 2 * retryMs));
                     pause(retryMs);
                 }
@@ -209,14 +212,14 @@
         return view.seenSerial();
     }
 
-    private synchronized void heard(String member, Answer answer, long askedNs) throws IOException {
+    private synchronized void processAnswer(String member, Answer answer, long askedNs) throws IOException {
         if (!answer.hasNews()) {
             throw new IOException(answer.getProblem());
         }
         News news = answer.getNews();
         if (!view.update(news.hasActive() ? ProtoMapper.toActivation(news.getActive()) : null,
                 news.hasVersion() ? ProtoMapper.toVersion(news.getVersion()) : null, clock.now())) {
-            throw new IOException("it told a version that is torn");
+            throw new IOException("its version does not match the checksum or the activation");
         }
         if (answer.getSettled()) {
             quorum.answered(member, askedNs);
@@ -229,7 +232,7 @@
         }
         if (quorum.isMajority(voters)) {
             view.confirm(quorum.confirmedNs(voters));
-            heard.countDown();
+            firstConfirmation.countDown();
         }
         refresh();
         notifyAll();
@@ -242,9 +245,9 @@
                 .setSinceMs(inForce == null ? 0 : (clock.now() - inForceNs) / Clock.MS).setClosed(refusalReason(state)).build();
     }
 
-    // ---- Switching ----
+    // ---- Switching versions ----
 
-    /** Null, or why no new request is taken; looks at the view only where that may have changed. */
+    /** Why new requests are refused, or null; consults the view only when its state may have changed. */
     private String closedReason() {
         if (clock.now() - stateValidUntilNs >= 0) {
             refresh();
@@ -253,12 +256,12 @@
         return reason.isEmpty() ? null : reason;
     }
 
-    /** Brings the pooler in line with the view: the one place where a version is put in force. */
+    /** Brings the pooler in line with the view; versions are put in force only here. */
     private synchronized void refresh() {
         long now = clock.now();
         State state = view.stateAt(now);
         PolicyVersion next = state.version();
-        long serial = state instanceof Serve serving ? serving.serial() : inForceSerial;
+        long serial = state instanceof Serving serving ? serving.serial() : inForceSerial;
         if (next != null && (inForce == null || next.number() != inForce.number() || serial != inForceSerial)) {
             switchTo(next, serial, now);
         }
@@ -271,7 +274,7 @@
     }
 
     private String refusalReason(State state) {
-        return state instanceof Refuse refusing ? refusing.reason() : unusableReason;
+        return state instanceof Refusing refusing ? refusing.reason() : unusableReason;
     }
 
     private void switchTo(PolicyVersion version, long serial, long now) {
@@ -296,9 +299,9 @@
         return reader.apply(view.stateAt(clock.now()));
     }
 
-    // ---- The last good version ----
+    // ---- Last good version ----
 
-    /** Switches when a delay has passed, and keeps the newest version and when it was last confirmed. */
+    /** Switches versions when a delay has passed, and stores the newest version and its last confirmation time. */
     private void runPersistence() {
         long intervalNs = options.stalenessBound().toNanos() / POLLS_PER_BOUND;
         while (true) {
@@ -321,11 +324,11 @@
         }
     }
 
-    /** What to write, null where what is kept still tells it to within a part of the bound. */
+    /** What to store, or null if the file has this version and a confirmation less than {@code intervalNs} older. */
     private LastGood nextToPersist(long intervalNs) {
         State state = view.stateAt(clock.now());
         PolicyVersion newest = view.newestVersion();
-        if (newest == null || !unusableReason.isEmpty() || state instanceof Serve serving && !serving.confirmed()) {
+        if (newest == null || !unusableReason.isEmpty() || state instanceof Serving serving && !serving.confirmed()) {
             return null;
         }
         long confirmedNs = System.nanoTime() - state.ageNs();
@@ -335,7 +338,7 @@
                         .setHeardUnixMs(System.currentTimeMillis() - state.ageNs() / Clock.MS).build();
     }
 
-    /** Names the machine's boot where the system tells it. */
+    /** The machine's boot ID, empty if the system does not provide one. */
     private static String bootId() {
         try {
             return Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
@@ -353,7 +356,7 @@
             ChecksummedFile.write(lastGoodFile(), FILE_MAGIC, next.toByteArray());
             lastGood = next;
         } catch (IOException e) {
-            Log.warn("policy: the version in force cannot be kept for the next start: " + e.getMessage());
+            Log.warn("policy: cannot store the last good version: " + e.getMessage());
         }
     }
 
@@ -363,7 +366,7 @@
         } catch (NoSuchFileException e) {
             return LastGood.getDefaultInstance();
         } catch (IOException e) {
-            Log.warn("policy: nothing is known from before this start: " + e.getMessage());
+            Log.warn("policy: cannot read the last good version: " + e.getMessage());
             return LastGood.getDefaultInstance();
         }
     }
--- a/store/src/main/java/holdmux/store/raft/MemberRoutes.java
+++ b/store/src/main/java/holdmux/store/raft/MemberRoutes.java
@@ -14,9 +14,9 @@
 import org.apache.ratis.thirdparty.io.grpc.NameResolverRegistry;
 
 /**
- * How this process reaches a member: at the address in the log, or by a way of its own where one is set (a forwarded
- * port, a relay). Members are named {@code holdmux-store:///n1@10.0.0.1:7001} to the library, which asks here for the
- * address whenever it connects.
+ * Resolves the address at which this process reaches a member: the one in the log, or an override set for this process (a
+ * forwarded port, a relay). Members are given to gRPC as {@code holdmux-store:///n1@10.0.0.1:7001}, which is resolved here
+ * on each connection.
  */
 public final class MemberRoutes {
     private static final String SCHEME = "holdmux-store";
@@ -28,7 +28,7 @@
 
     private MemberRoutes() {}
 
-    /** Reaches this member by this way from now on, in the whole process. */
+    /** Overrides the address of a member for the whole process, from the next connection on. */
     public static void set(String member, InetSocketAddress address) {
         OVERRIDES.put(member, address);
     }
@@ -45,7 +45,7 @@
 
         @Override
         protected int priority() {
-            return 5; // the usual one: no other provider has this scheme
+            return 5; // the default; no other provider has this scheme
         }
 
         @Override
@@ -80,7 +80,7 @@
 
                 @Override
                 public void shutdown() {
-                    // holds nothing
+                    // no resources to release
                 }
             };
         }
--- a/store/src/main/java/holdmux/store/raft/Members.java
+++ b/store/src/main/java/holdmux/store/raft/Members.java
@@ -16,11 +16,11 @@
 import org.apache.ratis.protocol.RaftPeerId;
 
 /**
- * The store's voting members, by name: {@code n1=10.0.0.1:7001,n2=10.0.0.2:7001,...}. The log keeps a member's name and
- * address; each process may have its own way to one ({@link MemberRoutes}).
+ * The store's voting members by name: {@code n1=10.0.0.1:7001,n2=10.0.0.2:7001,...}. The log stores each member's name and
+ * address; a process may override how it reaches one ({@link MemberRoutes}).
  */
 public final class Members {
-    /** One store a fleet, so the group's id is the same everywhere and need not be set. */
+    /** There is one store per fleet, so the Raft group ID is a constant and not configured. */
     static final RaftGroupId GROUP_ID =
             RaftGroupId.valueOf(UUID.nameUUIDFromBytes("holdmux policy".getBytes(StandardCharsets.US_ASCII)));
 
@@ -30,7 +30,7 @@
         this.addresses = addresses;
     }
 
-    /** @throws ConfigException for what is no list of names and numeric addresses, or names one twice */
+    /** @throws ConfigException if the text is not a list of names with numeric addresses, or a name occurs twice */
     public static Members parse(String text) {
         Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         for (String member : text.split(",")) {
@@ -40,13 +40,13 @@
                 throw new ConfigException("not name=address:port: " + member);
             }
             if (addresses.put(name, Config.address(member.substring(at + 1).strip())) != null) {
-                throw new ConfigException("the member " + name + " is named twice");
+                throw new ConfigException("duplicate member " + name);
             }
         }
         return new Members(addresses);
     }
 
-    /** These and those that members tell of, {@code name=address}; who is known stays where it is. */
+    /** Adds members listed as {@code name=address}; a member that is already known keeps its address. */
     public Members plus(Collection<String> listed) {
         Map<String, InetSocketAddress> all = new LinkedHashMap<>(addresses);
         for (String member : listed) {
@@ -55,11 +55,12 @@
         return all.size() == addresses.size() ? this : new Members(all);
     }
 
+    /** The names of all members, in the order listed. */
     public List<String> names() {
         return List.copyOf(addresses.keySet());
     }
 
-    /** Null for a name that is no member's. */
+    /** The address of a member, or null if there is no member of this name. */
     public InetSocketAddress address(String name) {
         return addresses.get(name);
     }
@@ -78,7 +79,7 @@
         return RaftPeer.newBuilder().setId(RaftPeerId.valueOf(name)).setAddress(MemberRoutes.targetUri(name, address)).build();
     }
 
-    /** Name and address of a peer as the log has it. */
+    /** A peer as {@code name=address}, with the address stored in the log. */
     static String nameAndAddress(RaftPeer peer) {
         String target = peer.getAddress();
         return peer.getId() + "=" + target.substring(target.indexOf('@') + 1);
--- a/store/src/main/java/holdmux/store/raft/PolicyStateMachine.java
+++ b/store/src/main/java/holdmux/store/raft/PolicyStateMachine.java
@@ -2,17 +2,17 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import holdmux.core.Log;
+import holdmux.store.ChecksummedFile;
 import holdmux.store.Entry;
 import holdmux.store.Entry.Activate;
 import holdmux.store.Entry.Propose;
 import holdmux.store.EntryCodec;
+import holdmux.store.EntryResult;
 import holdmux.store.FleetView;
-import holdmux.store.ProtoMapper;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyHistory.Activation;
-import holdmux.store.ChecksummedFile;
+import holdmux.store.ProtoMapper;
 import holdmux.store.Validator;
-import holdmux.store.EntryResult;
 import holdmux.store.wire.Answer;
 import holdmux.store.wire.News;
 import holdmux.store.wire.Poll;
@@ -45,28 +45,28 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * One member's copy of the history, fed by the committed log. All that it decides stands in {@link PolicyHistory}; here
- * are the log, the snapshots and the questions that wait for news.
+ * The Raft state machine that holds one member's copy of the history. The rules for entries are in {@link PolicyHistory};
+ * this class connects them to the log, the snapshots and the long polls of poolers.
  */
 final class PolicyStateMachine extends BaseStateMachine {
-    /** The snapshot's file: what it is and, in the last place, its form. */
+    /** Magic of snapshot files; the last character is the format version. */
     static final String SNAPSHOT_MAGIC = "holdmux1";
-    /** Polls that wait here at once; further ones are answered as they come. */
+    /** Maximum number of held polls; further ones are answered immediately. */
     private static final int MAX_WAITING_POLLS = 10_000;
     private static final int MAX_HOLD_MS = 30_000;
 
     private record WaitingPoll(long seenSerial, CompletableFuture<Message> answer) {}
 
-    /** Made anew where a snapshot was put aside, as it would go on naming that one. */
+    /** Replaced when a snapshot is set aside, because the old instance would keep returning that snapshot. */
     private volatile SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final Validator validator;
     private final Runnable onVersionKept;
     private final FleetView fleet = new FleetView();
-    private final Set<WaitingPoll> waitingPolls = new LinkedHashSet<>(); // by identity: each has a future of its own
+    private final Set<WaitingPoll> waitingPolls = new LinkedHashSet<>(); // distinct by identity, as each has its own future
     private PolicyHistory history = PolicyHistory.EMPTY;
     private volatile String failure = "";
 
-    /** {@code kept}: called, quick, whenever a version may have been kept. */
+    /** @param onVersionKept called whenever a version may have been added; must return quickly */
     PolicyStateMachine(Validator validator, Runnable onVersionKept) {
         this.validator = validator;
         this.onVersionKept = onVersionKept;
@@ -76,7 +76,7 @@
         return history;
     }
 
-    /** Why this member's log stands still, in words; empty while it does not. */
+    /** Why this member can no longer write its log; empty while it can. */
     String failure() {
         return failure;
     }
@@ -90,7 +90,7 @@
 
     @Override
     public void reinitialize() throws IOException {
-        // another member's snapshot has been put in place
+        // a snapshot from another member has been installed
         loadSnapshot(getServer().join().getDivision(getGroupId()).getRaftStorage());
     }
 
@@ -99,7 +99,7 @@
         return storage;
     }
 
-    /** The newest snapshot that is whole; one that is not is put aside, as the one before and the log behind it serve too. */
+    /** Loads the newest valid snapshot. Invalid ones are renamed, since the previous one and the log after it suffice. */
     private void loadSnapshot(RaftStorage raftStorage) throws IOException {
         while (true) {
             SingleFileSnapshotInfo newest = storage.loadLatestSnapshot();
@@ -116,7 +116,7 @@
                 onVersionKept.run();
                 return;
             } catch (ChecksummedFile.InvalidFileException | InvalidProtocolBufferException | IllegalArgumentException e) {
-                Log.warn("store: a snapshot is put aside: " + e.getMessage());
+                Log.warn("store: set aside an invalid snapshot: " + e.getMessage());
                 Files.move(file, file.resolveSibling("unfit-" + file.getFileName()));
                 Files.deleteIfExists(MD5FileUtil.getDigestFileForFile(file.toFile()).toPath());
                 storage = new SimpleStateMachineStorage();
@@ -141,8 +141,8 @@
     }
 
     /**
-     * The leader's look before an entry goes into the log: what would be refused does not. Who may not serve under a
-     * version tells it later by an entry of its own; here only the leader's own program is asked.
+     * Called on the leader before an entry is appended: entries that would be refused are not written to the log. A new
+     * version is validated by the leader's program only; the other members report their results later as entries.
      */
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
@@ -171,7 +171,10 @@
         return transaction;
     }
 
-    /** The store's no, in words for the operator. */
+    /**
+     * A refused entry, worded for the operator. Clients recognize this class by its name in the transmitted message
+     * ({@link StoreClient#write}).
+     */
     static final class RefusedException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -201,7 +204,7 @@
                     waitingPolls.clear();
                 }
             } catch (IllegalArgumentException e) {
-                result = new EntryResult(false, e.getMessage()); // the same bytes on every member, and so the same no
+                result = new EntryResult(false, e.getMessage()); // deterministic: every member gets the same bytes
             }
             updateLastAppliedTermIndex(termIndex);
         }
@@ -212,7 +215,7 @@
         return result;
     }
 
-    /** From this member's own copy, whoever leads: what that is worth the asker tells by a majority of answers. */
+    /** Answers from this member's own copy, leader or not; clients confirm its freshness from a majority of answers. */
     @Override
     public CompletableFuture<Message> query(Message request) {
         try {
@@ -222,17 +225,17 @@
                 case HISTORY -> completed(newAnswer().setHistory(ProtoMapper.toProto(history(), false)).build());
                 case VERSION -> completed(history().version(question.getVersion())
                         .map(v -> newAnswer().setVersion(ProtoMapper.toProto(v)).build())
-                        .orElse(problemAnswer("version " + question.getVersion() + " is not kept; the newest is "
+                        .orElse(problemAnswer("version " + question.getVersion() + " does not exist; the newest is "
                                 + history().newestNumber())));
                 case FLEET -> {
                     synchronized (this) {
                         yield completed(newAnswer().setFleet(fleet.toFleet(System.nanoTime())).build());
                     }
                 }
-                default -> completed(problemAnswer("a question that this program does not know"));
+                default -> completed(problemAnswer("unknown question"));
             };
         } catch (InvalidProtocolBufferException e) {
-            return completed(problemAnswer("not a question: " + e.getMessage()));
+            return completed(problemAnswer("malformed question: " + e.getMessage()));
         }
     }
 
@@ -264,13 +267,13 @@
         return newAnswer().setNews(news).build();
     }
 
-    /** What the answer is worth, with it; the log is looked at first, so that all it held then is in the answer. */
+    /** Starts an answer with its log position. The log end is read first, so {@code settled} covers all it held by then. */
     private synchronized Answer.Builder newAnswer() {
         RaftServer.Division division;
         try {
             division = getServer().join().getDivision(getGroupId());
         } catch (IOException e) {
-            return Answer.newBuilder(); // the member is just ending
+            return Answer.newBuilder(); // the member is shutting down
         }
         TermIndex lastLogged = division.getRaftLog().getLastEntryTermIndex();
         long applied = getLastAppliedTermIndex().getIndex();
@@ -295,6 +298,6 @@
     @Override
     public void notifyLogFailed(Throwable cause, LogEntryProto entry) {
         failure = "the log cannot be written: " + cause.getMessage();
-        Log.error("store: this member's log cannot be written; it takes no further part until it is started again", cause);
+        Log.error("store: this member's log cannot be written; the member stops until it is restarted", cause);
     }
 }
--- a/store/src/main/java/holdmux/store/raft/StoreClient.java
+++ b/store/src/main/java/holdmux/store/raft/StoreClient.java
@@ -3,8 +3,8 @@
 import com.google.protobuf.InvalidProtocolBufferException;
 import holdmux.store.Entry;
 import holdmux.store.EntryCodec;
-import holdmux.store.Quorum;
 import holdmux.store.EntryResult;
+import holdmux.store.Quorum;
 import holdmux.store.wire.Answer;
 import holdmux.store.wire.Question;
 import java.io.Closeable;
@@ -33,44 +33,46 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
 
 /**
- * Asks the store. A question goes to the member named and to no other; what goes into the log goes to whoever leads.
- * Each call ends within its bound; a connection that failed is dropped, since the library would wait ever longer before
- * it tried that one again. For several threads.
+ * Client of the store. Questions go to the named member only; log entries go to the current leader. Every call has a
+ * time-out. A failed connection is discarded, because gRPC would retry it with growing back-off. Thread-safe.
  */
 public final class StoreClient implements Closeable {
-    /** Tries of one write: as many as find a new leader; between them a part of an election's time. */
+    /** Attempts of one write, enough to outlast a leader election; the pause is a fraction of an election time-out. */
     private static final int MAX_WRITE_ATTEMPTS = 12, WRITE_RETRY_MS = 250;
 
-    /** A log is ahead of what is applied for a round trip or, where the leader has gone, until another one leads. */
+    /** A log is ahead of the applied index for a round trip or, after losing its leader, until a new one is elected. */
     private static final int CONFIRM_TIMEOUTS = 5, CONFIRM_RETRY_MS = 30;
 
-    /** How one member of the store stands, as it says itself. */
+    /** Status of one member as reported by itself; {@code members} lists all members as {@code name=address}. */
     public record MemberStatus(String name, String address, String role, long committed, List<String> members) {}
 
-    /** Those that this was told of and those that members told of since. */
+    /** The configured members and those learned from answers. */
     private volatile Members members;
     private final long timeoutMs;
     private final long maxHoldMs;
     private final Map<String, RaftClient> clients = new HashMap<>();
 
-    /** {@code boundMs}: how long a call may take; nothing is asked to be held. */
+    /** @param timeoutMs how long a call may take; polls must not ask to be held */
     public StoreClient(Members members, long timeoutMs) {
         this(members, timeoutMs, 0);
     }
 
-    /** {@code holdMs}: the longest that a question may ask to be held, which is allowed beside the bound. */
+    /**
+     * @param timeoutMs how long a call may take, beside the time for which a poll is held
+     * @param maxHoldMs the longest time for which a poll may ask to be held
+     */
     public StoreClient(Members members, long timeoutMs, long maxHoldMs) {
         this.members = members;
         this.timeoutMs = timeoutMs;
         this.maxHoldMs = maxHoldMs;
     }
 
-    /** The answer of this member from its own copy, which may be behind the others': see {@link Quorum}. */
+    /** Asks one member, which answers from its own copy; it may be behind the others, see {@link Quorum}. */
     public Answer ask(Question question, String member) throws IOException {
         Message message = Message.valueOf(ByteString.copyFrom(question.toByteArray()));
         RaftClient client = clientFor(member);
         try {
-            // the blocking way: the library's asynchronous one says hello to the leader first, whoever is asked
+            // the blocking API: Ratis' asynchronous one contacts the leader first, whichever member is asked
             RaftClientReply reply = client.io().sendStaleRead(message, 0, RaftPeerId.valueOf(member));
             if (!reply.isSuccess()) {
                 throw reply.getException() == null ? new IOException("no answer") : reply.getException();
@@ -87,10 +89,10 @@
     }
 
     /**
-     * The answer of the member that is furthest, once a majority has answered from all of its log: nothing that was in the
-     * store when this was called is missing in it.
+     * Asks all members and returns the answer with the highest applied index, once a majority has answered with its whole
+     * log applied. The answer then includes everything committed before this call.
      *
-     * @throws IOException where no majority does, or that member has a problem with the question
+     * @throws IOException if no majority does in time, or the answer reports a problem with the question
      */
     public Answer ask(Question question) throws IOException {
         String lastFailure = "";
@@ -98,7 +100,7 @@
         do {
             Quorum quorum = new Quorum();
             Answer freshest = null;
-            for (int i = 0; i < knownMembers().size(); i++) { // an answer may tell of one more
+            for (int i = 0; i < knownMembers().size(); i++) { // an answer may add a member
                 String member = knownMembers().get(i);
                 try {
                     Answer answer = ask(question, member);
@@ -118,19 +120,19 @@
             }
             pause(CONFIRM_RETRY_MS);
         } while (System.nanoTime() - deadlineNs < 0);
-        throw new IOException("no majority of the store's members answers" + lastFailure);
+        throw new IOException("no majority of the store's members answered" + lastFailure);
     }
 
-    /** The members of the store by name, as the answering one has them. */
+    /** The names of the store's members according to this answer. */
     public static List<String> memberNames(Answer answer) {
         return answer.getMembersList().stream().map(member -> member.substring(0, member.indexOf('='))).toList();
     }
 
     /**
-     * Puts an entry into the log.
+     * Writes an entry to the log.
      *
-     * @return whether the store took it
-     * @throws IOException where nobody can tell: it may have been taken, or may yet be
+     * @return whether the entry was accepted, or why not
+     * @throws IOException if the outcome is unknown: the entry may have been applied, or may still be
      */
     public EntryResult write(Entry entry) throws IOException {
         Message message = Message.valueOf(ByteString.copyFrom(EntryCodec.encode(entry)));
@@ -143,8 +145,8 @@
             return new EntryResult(false, refusalReason(e));
         } catch (IOException e) {
             discard("", client);
-            throw new IOException("no majority of the store answered in time, so it is not known whether this was taken; "
-                    + "the history will tell: " + e.getMessage(), e);
+            throw new IOException("no majority of the store answered in time, so the outcome is unknown; "
+                    + "check the history: " + e.getMessage(), e);
         }
     }
 
@@ -156,7 +158,7 @@
         return reason.lines().findFirst().orElse(reason);
     }
 
-    /** How a member stands, asked of itself; needs no majority. */
+    /** The status of one member, reported by itself; needs no majority. */
     public MemberStatus status(String member) throws IOException {
         RaftClient client = clientFor(member);
         try {
@@ -171,11 +173,11 @@
                     listed);
         } catch (IOException | RuntimeException e) {
             discard(member, client);
-            throw new IOException(e.getMessage(), e); // the library lets some of gRPC's own through
+            throw new IOException(e.getMessage(), e); // Ratis lets some of gRPC's unchecked exceptions through
         }
     }
 
-    /** Makes these the store's members, one change at a time; returns once a majority of them holds it. */
+    /** Changes the store's members, one at a time; returns once a majority of them has the new configuration. */
     public void changeMembers(List<String> listed) throws IOException {
         Members next = Members.parse(String.join(",", listed));
         RaftClient client = clientFor("");
@@ -190,7 +192,7 @@
         }
     }
 
-    /** All members that are known by now, first those that this was told of. */
+    /** The names of all known members, the configured ones first. */
     public List<String> knownMembers() {
         return members.names();
     }
@@ -255,7 +257,7 @@
         try {
             client.close();
         } catch (IOException e) {
-            // closing is all that was wanted
+            // nothing to recover: the client is discarded
         }
     }
 
--- a/store/src/main/java/holdmux/store/raft/StoreMember.java
+++ b/store/src/main/java/holdmux/store/raft/StoreMember.java
@@ -2,10 +2,10 @@
 
 import holdmux.core.Log;
 import holdmux.store.Entry.Checked;
+import holdmux.store.EntryResult;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyVersion;
 import holdmux.store.Validator;
-import holdmux.store.EntryResult;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,14 +27,14 @@
 import org.apache.ratis.util.SizeInBytes;
 import org.apache.ratis.util.TimeDuration;
 
-/** One voting member of the store in this process: its log, its copy of the history, and its own check of each version. */
+/** A voting member of the store in this process: its log, its copy of the history and its validation of each version. */
 public final class StoreMember implements Closeable {
-    /** A follower that hears no leader for so long stands for election: several round trips and a busy core's pauses. */
+    /** Election time-out range: several round trips plus the scheduling pauses of a busy machine. */
     private static final int ELECTION_MIN_MS = 600, ELECTION_MAX_MS = 1_200;
     private static final int REQUEST_TIMEOUT_MS = 1_000;
-    /** A snapshot each so many entries: a replay of that many takes well under a second. */
+    /** Entries between snapshots; replaying this many takes well under a second. */
     private static final int SNAPSHOT_ENTRIES = 200;
-    /** A history is some megabytes; the library's default sizes are for logs of gigabytes. */
+    /** A history takes a few megabytes; Ratis' defaults are sized for logs of gigabytes. */
     private static final SizeInBytes PREALLOCATED_SIZE = SizeInBytes.valueOf("64KB"), MAX_SEGMENT_SIZE = SizeInBytes.valueOf("8MB");
     private static final long CHECK_RETRY_MS = 500;
 
@@ -47,18 +47,18 @@
     private volatile boolean closed;
 
     /**
-     * Starts the member on its folder, made where there is none.
+     * Starts the member on its directory, which is created if missing.
      *
-     * @param first whether this begins a new store: an empty folder then counts as that of a founder. Without, a member
-     *              with an empty folder has no vote until the others take it in, so that one that lost its disk cannot
-     *              vote against what it had promised
-     * @throws IOException where its log cannot be read or its address is taken
+     * @param bootstrap whether an empty directory makes this a founding member of a new store. Otherwise a member with an
+     *                  empty directory cannot vote until the others add it, so that one that lost its disk cannot
+     *                  contradict its earlier votes
+     * @throws IOException if the log cannot be read or the address is in use
      */
     public StoreMember(String name, Members members, InetSocketAddress listen, Path directory, boolean bootstrap,
             Validator validator) throws IOException {
         this.name = name;
         this.validator = validator;
-        ExitUtils.disableSystemExit(); // a pooler serves on without its member
+        ExitUtils.disableSystemExit(); // the pooler continues without its member
         ExitUtils.setTerminateOnUncaughtException(false);
         stateMachine = new PolicyStateMachine(validator, versionKept::release);
         boolean hasLog = Files.isDirectory(directory.resolve(Members.GROUP_ID.getUuid().toString()));
@@ -86,12 +86,12 @@
         RaftServerConfigKeys.Rpc.setTimeoutMin(p, millis(ELECTION_MIN_MS));
         RaftServerConfigKeys.Rpc.setTimeoutMax(p, millis(ELECTION_MAX_MS));
         RaftServerConfigKeys.Rpc.setRequestTimeout(p, millis(REQUEST_TIMEOUT_MS));
-        // entries of the library's own, each behind another, would leave every log one entry ahead of what is applied
+        // Ratis' metadata entries, one after each entry, would keep every log one entry ahead of the applied index
         RaftServerConfigKeys.Log.setLogMetadataEnabled(p, false);
         RaftServerConfigKeys.Log.setPreallocatedSize(p, PREALLOCATED_SIZE);
         RaftServerConfigKeys.Log.setSegmentSizeMax(p, MAX_SEGMENT_SIZE);
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(p, true);
-        RaftServerConfigKeys.Log.setPurgePreservationLogNum(p, 2 * SNAPSHOT_ENTRIES); // behind the older snapshot too
+        RaftServerConfigKeys.Log.setPurgePreservationLogNum(p, 2 * SNAPSHOT_ENTRIES); // enough to replay from the older snapshot too
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(p, true);
         RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(p, SNAPSHOT_ENTRIES);
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, 2);
@@ -102,19 +102,19 @@
         return TimeDuration.valueOf(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** This member's copy of the history, which may be behind. */
+    /** This member's copy of the history, which may be behind the others'. */
     public PolicyHistory history() {
         return stateMachine.history();
     }
 
-    /** Why this member takes no part, in words; empty while it does. */
+    /** Why this member has stopped; empty while it runs. */
     public String failure() {
         LifeCycle.State state = server.getLifeCycleState();
         return !stateMachine.failure().isEmpty() ? stateMachine.failure()
-                : state.isClosingOrClosed() || state == LifeCycle.State.EXCEPTION ? "its log has ended: " + state : "";
+                : state.isClosingOrClosed() || state == LifeCycle.State.EXCEPTION ? "the Raft server is in state " + state : "";
     }
 
-    /** Tells the store what this member's program finds of each version that it has not told of yet. */
+    /** Validates each new version with this member's program and writes the result to the store. */
     private void runChecks() {
         while (!closed) {
             try {
@@ -129,11 +129,11 @@
                         Log.warn("store: version " + version.number() + " cannot be served here: " + checked.problem());
                     }
                     if (nextUnchecked().equals(next)) {
-                        Thread.sleep(CHECK_RETRY_MS / 10); // taken by the leader; this copy is a moment behind
+                        Thread.sleep(CHECK_RETRY_MS / 10); // accepted by the leader, not yet applied to this copy
                     }
                 }
             } catch (IOException e) {
-                pause(); // no leader now, or this member is cut off: the check is told later
+                pause(); // no leader, or this member is disconnected: retried later
                 versionKept.release();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
--- a/store/src/test/java/holdmux/store/FilesAndViewsTest.java
+++ b/store/src/test/java/holdmux/store/FilesAndViewsTest.java
@@ -17,51 +17,51 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is kept in files and shown to operators. */
+/** The store's files and the views shown to operators. */
 class FilesAndViewsTest {
     private static final long S = 1_000_000_000L;
 
-    /** Torn anywhere, cut anywhere, of another kind or form: refused with a word; an interrupted write leaves the old one. */
+    /** Corruption or truncation at any byte and foreign magics are rejected; a failed write leaves the old file intact. */
     @Test
-    void aFileIsWholeOrRefused(@TempDir Path folder) throws IOException {
-        Path file = folder.resolve("kept");
+    void damagedOrForeignFilesAreRejected(@TempDir Path directory) throws IOException {
+        Path file = directory.resolve("kept");
         byte[] payload = "what is kept".getBytes(StandardCharsets.UTF_8);
         ChecksummedFile.write(file, "testing1", payload);
         assertArrayEquals(payload, ChecksummedFile.read(file, "testing1"));
-        assertTrue(refusal(file, "testing2").contains("is of form 1, this program reads 2"));
-        assertTrue(refusal(file, "another1").contains("is no another file"));
-        byte[] whole = Files.readAllBytes(file);
-        for (int i = 0; i < whole.length; i++) {
-            byte[] torn = whole.clone();
-            torn[i] ^= 1;
-            Files.write(file, torn);
+        assertTrue(rejectionMessage(file, "testing2").contains("is of form 1, this program reads 2"));
+        assertTrue(rejectionMessage(file, "another1").contains("is no another file"));
+        byte[] intact = Files.readAllBytes(file);
+        for (int i = 0; i < intact.length; i++) {
+            byte[] corrupted = intact.clone();
+            corrupted[i] ^= 1;
+            Files.write(file, corrupted);
             assertThrows(ChecksummedFile.InvalidFileException.class, () -> ChecksummedFile.read(file, "testing1"));
-            Files.write(file, Arrays.copyOf(whole, i));
+            Files.write(file, Arrays.copyOf(intact, i));
             assertThrows(ChecksummedFile.InvalidFileException.class, () -> ChecksummedFile.read(file, "testing1"));
         }
-        Files.write(file, whole);
-        Files.createDirectory(folder.resolve("kept.new")); // the next write cannot even begin
+        Files.write(file, intact);
+        Files.createDirectory(directory.resolve("kept.new")); // makes the next write fail when it opens its temporary file
         assertThrows(IOException.class, () -> ChecksummedFile.write(file, "testing1", new byte[1]));
         assertArrayEquals(payload, ChecksummedFile.read(file, "testing1"));
     }
 
-    private static String refusal(Path file, String name) {
-        return assertThrows(ChecksummedFile.InvalidFileException.class, () -> ChecksummedFile.read(file, name)).getMessage();
+    private static String rejectionMessage(Path file, String magic) {
+        return assertThrows(ChecksummedFile.InvalidFileException.class, () -> ChecksummedFile.read(file, magic)).getMessage();
     }
 
-    /** The time a pooler was down counts, whichever clock can tell it; what no clock can tell is as old as can be. */
+    /** Guards against a restart that renews the staleness bound: downtime counts, and an unknown age is the maximum. */
     @Test
-    void whatWasKeptAgesWhileThePoolerIsDown() {
-        LastGood kept = LastGood.newBuilder().setBoot("b1").setHeardNs(10 * S).setHeardUnixMs(50_000).build();
-        assertEquals(7 * S, ConfirmationAge.ageNs(kept, "b1", 17 * S, 0, 100 * S), "one boot: the wall clock says nothing");
-        assertEquals(3 * S, ConfirmationAge.ageNs(kept, "b2", 17 * S, 53_000, 100 * S), "another boot");
-        assertEquals(100 * S, ConfirmationAge.ageNs(kept, "b2", 17 * S, 49_000, 100 * S), "the wall clock went back");
-        assertEquals(100 * S, ConfirmationAge.ageNs(kept, "", 17 * S, 49_000, 100 * S), "no boot is told");
+    void confirmationAgeIncludesDowntime() {
+        LastGood lastGood = LastGood.newBuilder().setBoot("b1").setHeardNs(10 * S).setHeardUnixMs(50_000).build();
+        assertEquals(7 * S, ConfirmationAge.ageNs(lastGood, "b1", 17 * S, 0, 100 * S), "same boot: the wall clock is ignored");
+        assertEquals(3 * S, ConfirmationAge.ageNs(lastGood, "b2", 17 * S, 53_000, 100 * S), "another boot");
+        assertEquals(100 * S, ConfirmationAge.ageNs(lastGood, "b2", 17 * S, 49_000, 100 * S), "the wall clock went backwards");
+        assertEquals(100 * S, ConfirmationAge.ageNs(lastGood, "", 17 * S, 49_000, 100 * S), "the boot ID is unknown");
     }
 
-    /** Of each pooler the latest word; a flood of names does not grow the list for ever. */
+    /** Merging takes each pooler's latest report; a flood of pooler names must not grow the view without bound. */
     @Test
-    void theFleetsViewIsBoundedAndMergesByTheLatestWord() {
+    void fleetViewIsBoundedAndMergesByLatestReport() {
         FleetView one = new FleetView();
         FleetView two = new FleetView();
         one.update(standing("p1", 4), 0);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void whatDiffersIsToldByKeyWhateverTheOrder() {
+    void diffComparesByKeyRegardlessOfOrder() {
         assertEquals(List.of(), PolicyDiff.lines("{\"a\":1,\"b\":{\"c\":2}}", "{ \"b\" : {\"c\":2}, \"a\":1 }"));
         assertEquals(List.of("b.c: 2 -> 3", "d: (none) -> x"),
                 PolicyDiff.lines("{\"a\":1,\"b\":{\"c\":2}}", "{\"a\":1,\"b\":{\"c\":3},\"d\":\"x\"}"));
--- a/store/src/test/java/holdmux/store/PolicyHistoryTest.java
+++ b/store/src/test/java/holdmux/store/PolicyHistoryTest.java
@@ -21,7 +21,7 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 
-/** What the store accepts into its history, the same on every member. */
+/** The rules by which every member accepts or refuses log entries. */
 class PolicyHistoryTest {
     static String settings() {
         try (InputStream in = PolicyHistoryTest.class.getResourceAsStream("/settings.json")) {
@@ -39,7 +39,7 @@
         return new JSONObject().put("settings", new JSONObject(settings()).put(key, value)).toString();
     }
 
-    private static PolicyHistory kept(int count) {
+    private static PolicyHistory historyOf(int count) {
         PolicyHistory history = PolicyHistory.EMPTY;
         for (int i = 1; i <= count; i++) {
             history = history.apply(new Propose(PolicyVersion.of(i, i - 1, policyWith("over-share-worth", i), "a")));
@@ -47,9 +47,9 @@
         return history;
     }
 
-    /** Entries survive the log whole; what is not an entry is refused, unread where it is too long. */
+    /** Entries round-trip through the codec; invalid ones are rejected, and oversized ones without parsing them. */
     @Test
-    void entriesComeBackFromTheLogAsTheyWent() {
+    void entriesSurviveEncodingAndInvalidBytesAreRejected() {
         for (Entry entry : List.of(new Propose(PolicyVersion.of(3, 2, policy(), "ana")), new Activate(3, 9, "ana", 2),
                 new Checked(3, "n1", "no classes"))) {
             assertEquals(entry, EntryCodec.decode(EntryCodec.encode(entry)));
@@ -61,28 +61,28 @@
         assertThrows(IllegalArgumentException.class, () -> EntryCodec.decode(new byte[EntryCodec.MAX_BYTES + 1]));
     }
 
-    /** Two operators who start from the same version: the one applied second learns who came first. */
+    /** Two operators start from the same version: the second is refused and told whose version came first. */
     @Test
-    void theSecondOfTwoProposalsFromOneVersionIsRefused() {
-        PolicyHistory history = kept(2);
+    void secondProposalBasedOnTheSameVersionIsRefused() {
+        PolicyHistory history = historyOf(2);
         PolicyVersion late = PolicyVersion.of(3, 1, policy(), "bob");
-        EntryResult verdict = history.check(new Propose(late));
-        assertFalse(verdict.accepted());
-        assertTrue(verdict.reason().contains("2 was kept meanwhile by a"), verdict.reason());
+        EntryResult result = history.check(new Propose(late));
+        assertFalse(result.accepted());
+        assertTrue(result.reason().contains("2 was kept meanwhile by a"), result.reason());
         assertSame(history, history.apply(new Propose(late)));
     }
 
     @Test
-    void aVersionThatDoesNotMatchItsChecksumIsRefused() {
-        PolicyVersion torn = new PolicyVersion(1, 0, settings(), PolicyVersion.checksum(settings() + " "), "a");
-        EntryResult verdict = PolicyHistory.EMPTY.check(new Propose(torn));
-        assertFalse(verdict.accepted());
-        assertTrue(verdict.reason().contains("checksum"), verdict.reason());
+    void versionWithAWrongChecksumIsRefused() {
+        PolicyVersion corrupted = new PolicyVersion(1, 0, settings(), PolicyVersion.checksum(settings() + " "), "a");
+        EntryResult result = PolicyHistory.EMPTY.check(new Propose(corrupted));
+        assertFalse(result.accepted());
+        assertTrue(result.reason().contains("checksum"), result.reason());
     }
 
-    /** The schema and limits of the pooler itself: what serve would refuse no member finds valid. */
+    /** Guards against activating a policy that poolers cannot load: the validator applies serve's schema and limits. */
     @Test
-    void aPolicyThatThePoolerCouldNotTakeUpIsNotValid() {
+    void validatorRejectsWhatThePoolerCannotLoad() {
         for (String text : List.of(policyWith("step-ns", 0), policyWith("balancers", "many"), "{", "[]", settings(),
                 new JSONObject(policy()).put("discovery", "a name").toString(),
                 new JSONObject(policy()).put("excluded", List.of("")).toString(),
@@ -93,22 +93,22 @@
                 .put("excluded", List.of("s-1")).put("evacuated", List.of("p1")).toString()));
     }
 
-    /** A member that runs another version of the program may find a version invalid: then nobody is put under it. */
+    /** A member that runs another program version may reject a policy; it must then not be activated for anyone. */
     @Test
-    void aVersionThatAMemberFindsInvalidOrTooFewHaveCheckedIsNotActivated() {
-        PolicyHistory history = kept(1).apply(new Checked(1, "n1", ""));
+    void activationNeedsAQuorumOfChecksAndNoFailedCheck() {
+        PolicyHistory history = historyOf(1).apply(new Checked(1, "n1", ""));
         assertTrue(history.check(new Activate(1, 0, "a", 2)).reason().startsWith("only 1 of the 2"));
         PolicyHistory refused = history.apply(new Checked(1, "n2", "no such guard"));
         assertTrue(refused.check(new Activate(1, 0, "a", 1)).reason().contains("n2 cannot serve"));
-        PolicyHistory mended = refused.apply(new Checked(1, "n2", ""));
-        assertEquals(1, mended.apply(new Activate(1, 0, "a", 2)).active().orElseThrow().number());
-        assertSame(mended, mended.apply(new Checked(1, "n2", "")), "told again");
+        PolicyHistory passed = refused.apply(new Checked(1, "n2", ""));
+        assertEquals(1, passed.apply(new Activate(1, 0, "a", 2)).active().orElseThrow().number());
+        assertSame(passed, passed.apply(new Checked(1, "n2", "")), "recorded already");
     }
 
-    /** Texts of old versions go, the newest's and the one's in force stay: a member's memory is bounded. */
+    /** Pruning old texts bounds a member's memory, but the newest version and the one in force keep theirs. */
     @Test
-    void oldTextsArePrunedButNeverWhatIsInForceOrNewest() {
-        PolicyHistory history = kept(1).apply(new Activate(1, 0, "a", 0));
+    void oldTextsArePrunedExceptActiveAndNewest() {
+        PolicyHistory history = historyOf(1).apply(new Activate(1, 0, "a", 0));
         String large = " ".repeat(PolicyVersion.MAX_BYTES - 1);
         for (int i = 2; i <= 40; i++) {
             history = history.apply(new Propose(PolicyVersion.of(i, i - 1, large + i % 10, "a")))
@@ -119,15 +119,15 @@
         assertFalse(history.version(40).orElseThrow().isPruned());
         assertTrue(history.version(2).orElseThrow().isPruned());
         assertTrue(history.check(new Activate(2, 0, "a", 0)).reason().contains("no longer kept"));
-        assertTrue(history.checks().stream().noneMatch(c -> c.number() == 2), "nothing is kept of checks either");
-        assertEquals(history, ProtoMapper.toHistory(ProtoMapper.toProto(history, true)), "a snapshot keeps all of it");
+        assertTrue(history.checks().stream().noneMatch(c -> c.number() == 2), "the checks of pruned versions are dropped too");
+        assertEquals(history, ProtoMapper.toHistory(ProtoMapper.toProto(history, true)), "a snapshot preserves the whole history");
     }
 
     @Test
-    void activationNamesAKeptVersionOnceAndRollsBackByNumber() {
-        PolicyHistory history = kept(2);
-        assertTrue(history.active().isEmpty(), "kept is not in force");
-        assertFalse(history.check(new Activate(3, 0, "a", 0)).accepted(), "not kept");
+    void activationRequiresAStoredVersionAndAllowsRollback() {
+        PolicyHistory history = historyOf(2);
+        assertTrue(history.active().isEmpty(), "stored is not yet in force");
+        assertFalse(history.check(new Activate(3, 0, "a", 0)).accepted(), "no such version");
         assertFalse(history.check(new Activate(2, -1, "a", 0)).accepted(), "negative delay");
         assertFalse(history.check(new Activate(2, PolicyHistory.MAX_DELAY_NS + 1, "a", 0))
                 .accepted(), "too long a delay");
@@ -138,11 +138,11 @@
     }
 
     /**
-     * Whatever a log holds (gaps, stale bases, invalid texts, activations of what is not kept), the history keeps its
-     * versions numbered without gaps, activates only what it keeps, and a refused entry leaves it as it was.
+     * For any log (gaps, stale bases, invalid texts, activations of unknown versions), versions stay numbered without gaps,
+     * only stored versions are activated, and a refused entry leaves the history unchanged.
      */
     @Property(tries = 200, seed = "20261201")
-    void noLogBreaksTheHistory(@ForAll @IntRange(min = 1, max = 40) int length, @ForAll long seed) {
+    void historyInvariantsHoldForAnyLog(@ForAll @IntRange(min = 1, max = 40) int length, @ForAll long seed) {
         Random random = new Random(seed);
         List<Entry> log = new ArrayList<>();
         for (int i = 0; i < length; i++) {
@@ -153,20 +153,20 @@
                             "op" + random.nextInt(2)))
                     : new Activate(number, random.nextInt(3), "op", 0));
         }
-        PolicyHistory one = PolicyHistory.EMPTY;
+        PolicyHistory history = PolicyHistory.EMPTY;
         for (Entry entry : log) {
-            PolicyHistory next = one.apply(entry);
-            if (!one.check(entry).accepted()) {
-                assertSame(one, next);
+            PolicyHistory next = history.apply(entry);
+            if (!history.check(entry).accepted()) {
+                assertSame(history, next);
             }
-            one = next;
+            history = next;
         }
-        for (int i = 0; i < one.versions().size(); i++) {
-            assertEquals(i + 1, one.versions().get(i).number(), "numbered without gaps");
-            assertTrue(one.versions().get(i).isIntact());
+        for (int i = 0; i < history.versions().size(); i++) {
+            assertEquals(i + 1, history.versions().get(i).number(), "numbered without gaps");
+            assertTrue(history.versions().get(i).isIntact());
         }
-        for (PolicyHistory.Activation activation : one.activations()) {
-            assertTrue(activation.number() <= one.newestNumber(), "only kept versions are activated");
+        for (PolicyHistory.Activation activation : history.activations()) {
+            assertTrue(activation.number() <= history.newestNumber(), "only stored versions are activated");
         }
     }
 }
--- a/store/src/test/java/holdmux/store/PolicyViewTest.java
+++ b/store/src/test/java/holdmux/store/PolicyViewTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import holdmux.store.PolicyHistory.Activation;
-import holdmux.store.PolicyView.Refuse;
-import holdmux.store.PolicyView.Serve;
+import holdmux.store.PolicyView.Refusing;
+import holdmux.store.PolicyView.Serving;
 import holdmux.store.PolicyView.State;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,102 +17,102 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What one pooler serves under, and that a fleet of them never parts for longer than the bound. */
+/** Which version a pooler serves, and that poolers never disagree for longer than the staleness bound. */
 class PolicyViewTest {
     private static final long S = 1_000_000_000L;
     private static final long BOUND = 10 * S;
     private static final PolicyVersion ONE = PolicyVersion.of(1, 0, "{\"v\":1}", "a");
     private static final PolicyVersion TWO = PolicyVersion.of(2, 1, "{\"v\":2}", "a");
 
-    /** The store told this, and confirmed it. */
-    private static boolean heard(PolicyView view, Activation active, PolicyVersion version, long nowNs) {
-        boolean taken = view.update(active, version, nowNs);
-        if (taken) {
+    /** Processes an answer and, if it is accepted, confirms it at the same time. */
+    private static boolean updateAndConfirm(PolicyView view, Activation active, PolicyVersion version, long nowNs) {
+        boolean accepted = view.update(active, version, nowNs);
+        if (accepted) {
             view.confirm(nowNs);
         }
-        return taken;
+        return accepted;
     }
 
-    /** News that no majority has confirmed is taken, being committed, but renews nothing. */
+    /** An answer without a confirming majority is applied, as it is committed, but does not renew the staleness bound. */
     @Test
-    void whatOneMemberTellsIsTakenButConfirmsNothing() {
+    void singleMemberUpdateIsAppliedButNotConfirmed() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 0);
         assertTrue(view.update(new Activation(2, 0, 1, "a"), TWO, S));
-        assertEquals(new Serve(TWO, 1, S, false), view.stateAt(S));
-        assertInstanceOf(Refuse.class, view.stateAt(BOUND + 1));
+        assertEquals(new Serving(TWO, 1, S, false), view.stateAt(S));
+        assertInstanceOf(Refusing.class, view.stateAt(BOUND + 1));
         view.confirm(2 * S);
-        view.confirm(S); // an older one, come late
-        assertEquals(new Serve(TWO, 1, BOUND - 2 * S, true), view.stateAt(BOUND));
+        view.confirm(S); // an older confirmation that arrives late
+        assertEquals(new Serving(TWO, 1, BOUND - 2 * S, true), view.stateAt(BOUND));
         assertEquals(BOUND + 2 * S + 1, view.validUntil(BOUND));
     }
 
     @Test
-    void aPoolerThatCannotReachTheStoreServesItsLastGoodVersionUntilTheBound() {
+    void lastGoodVersionIsServedUntilTheStalenessBound() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 100 * S);
-        assertEquals(new Serve(ONE, 0, 3 * S, false), view.stateAt(103 * S));
-        assertEquals(new Serve(ONE, 0, BOUND, false), view.stateAt(110 * S));
-        Refuse refuse = assertInstanceOf(Refuse.class, view.stateAt(110 * S + 1));
-        assertTrue(refuse.reason().contains("over the bound of 10000 ms"), refuse.reason());
-        assertInstanceOf(Refuse.class, new PolicyView(null, 0, BOUND, 0).stateAt(0), "nothing to serve under");
+        assertEquals(new Serving(ONE, 0, 3 * S, false), view.stateAt(103 * S));
+        assertEquals(new Serving(ONE, 0, BOUND, false), view.stateAt(110 * S));
+        Refusing refusing = assertInstanceOf(Refusing.class, view.stateAt(110 * S + 1));
+        assertTrue(refusing.reason().contains("over the bound of 10000 ms"), refusing.reason());
+        assertInstanceOf(Refusing.class, new PolicyView(null, 0, BOUND, 0).stateAt(0), "no version to serve");
     }
 
-    /** A pooler cut off and started again does not get a fresh bound for each start. */
+    /** Guards against a disconnected pooler that serves an old version for a full bound after each restart. */
     @Test
     void aRestartDoesNotRenewTheBound() {
         PolicyView view = new PolicyView(ONE, 7 * S, BOUND, 0);
-        assertEquals(new Serve(ONE, 0, 10 * S, false), view.stateAt(3 * S));
-        assertInstanceOf(Refuse.class, view.stateAt(3 * S + 1));
+        assertEquals(new Serving(ONE, 0, 10 * S, false), view.stateAt(3 * S));
+        assertInstanceOf(Refusing.class, view.stateAt(3 * S + 1));
     }
 
     @Test
-    void theFirstAnswerOfTheStoreCountsAtOnceWhateverItsDelay() {
+    void firstAnswerIsAppliedWithoutDelay() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 0);
-        assertTrue(heard(view, new Activation(2, 5 * S, 4, "a"), TWO, S));
-        assertEquals(new Serve(TWO, 4, 0, true), view.stateAt(S));
+        assertTrue(updateAndConfirm(view, new Activation(2, 5 * S, 4, "a"), TWO, S));
+        assertEquals(new Serving(TWO, 4, 0, true), view.stateAt(S));
     }
 
     @Test
-    void aPoolerInTouchSwitchesWhenTheDelayHasPassedOnItsOwnClock() {
+    void connectedPoolerSwitchesAfterTheDelay() {
         PolicyView view = new PolicyView(null, 0, BOUND, 0);
-        heard(view, new Activation(1, 0, 1, "a"), ONE, S);
-        heard(view, new Activation(2, 3 * S, 2, "a"), TWO, 2 * S);
+        updateAndConfirm(view, new Activation(1, 0, 1, "a"), ONE, S);
+        updateAndConfirm(view, new Activation(2, 3 * S, 2, "a"), TWO, 2 * S);
         assertEquals(ONE, view.stateAt(5 * S - 1).version());
-        assertEquals(new Serve(TWO, 2, 3 * S, true), view.stateAt(5 * S));
+        assertEquals(new Serving(TWO, 2, 3 * S, true), view.stateAt(5 * S));
         assertNull(view.pending());
     }
 
     @Test
-    void aPoolerBackFromLongerThanTheBoundSwitchesAtOnce() {
+    void poolerDisconnectedBeyondTheBoundSwitchesWithoutDelay() {
         PolicyView view = new PolicyView(null, 0, BOUND, 0);
-        heard(view, new Activation(1, 0, 1, "a"), ONE, 0);
-        assertInstanceOf(Refuse.class, view.stateAt(BOUND + 1));
-        heard(view, new Activation(2, 5 * S, 2, "a"), TWO, BOUND + 2);
+        updateAndConfirm(view, new Activation(1, 0, 1, "a"), ONE, 0);
+        assertInstanceOf(Refusing.class, view.stateAt(BOUND + 1));
+        updateAndConfirm(view, new Activation(2, 5 * S, 2, "a"), TWO, BOUND + 2);
         assertEquals(TWO, view.stateAt(BOUND + 2).version());
     }
 
     @Test
-    void aTornOrMismatchedAnswerIsNotTakenNorCountsAsContact() {
+    void corruptOrMismatchedAnswerIsRejectedAndConfirmsNothing() {
         PolicyView view = new PolicyView(ONE, 0, BOUND, 0);
-        PolicyVersion torn = new PolicyVersion(2, 1, "{\"v\":3}", TWO.sha256(), "a");
-        assertFalse(heard(view, new Activation(2, 0, 1, "a"), torn, S));
-        assertFalse(heard(view, new Activation(2, 0, 1, "a"), ONE, S));
-        assertFalse(heard(view, new Activation(2, 0, 1, "a"), null, S));
-        assertEquals(new Serve(ONE, 0, 2 * S, false), view.stateAt(2 * S));
+        PolicyVersion corrupted = new PolicyVersion(2, 1, "{\"v\":3}", TWO.sha256(), "a");
+        assertFalse(updateAndConfirm(view, new Activation(2, 0, 1, "a"), corrupted, S));
+        assertFalse(updateAndConfirm(view, new Activation(2, 0, 1, "a"), ONE, S));
+        assertFalse(updateAndConfirm(view, new Activation(2, 0, 1, "a"), null, S));
+        assertEquals(new Serving(ONE, 0, 2 * S, false), view.stateAt(2 * S));
     }
 
     @Test
-    void anOlderAnswerAfterANewerOneChangesNothing() {
+    void staleAnswerIsIgnored() {
         PolicyView view = new PolicyView(null, 0, BOUND, 0);
-        heard(view, new Activation(2, 0, 2, "a"), TWO, S);
-        heard(view, new Activation(1, 0, 1, "a"), ONE, 2 * S);
+        updateAndConfirm(view, new Activation(2, 0, 2, "a"), TWO, S);
+        updateAndConfirm(view, new Activation(1, 0, 1, "a"), ONE, 2 * S);
         assertEquals(TWO, view.stateAt(2 * S).version());
     }
 
     /**
-     * Twelve poolers on clocks up to 5 s apart ask the store now and then; some are cut off for a while, some killed and
-     * started again, some time later, with their file. Whatever the order, a pooler never serves under an activation that
-     * is not committed, and never under a version that was followed by another one longer ago than the bound and that
-     * one's delay: so no two poolers serve different versions for longer than that.
+     * Twelve poolers with clocks up to 5 s apart poll the store at random; some are disconnected for a while, some are
+     * killed and restarted later with their stored version. A pooler must never serve an uncommitted activation, nor a
+     * version superseded longer ago than the staleness bound plus the newer activation's delay. Hence no two poolers serve
+     * different versions for longer than that.
      */
     @Property(tries = 300, seed = "20261202")
     void noPoolerServesAnOutOfDateVersionForLongerThanTheBound(@ForAll long seed) {
@@ -122,9 +122,9 @@
         long step = S / 10;
         int poolers = 12;
         long[] offset = new long[poolers];
-        long[] cutUntil = new long[poolers];
+        long[] disconnectedUntil = new long[poolers];
         long[] downUntil = new long[poolers];
-        long[] diedAt = new long[poolers];
+        long[] stoppedAt = new long[poolers];
         PolicyView[] views = new PolicyView[poolers];
         for (int p = 0; p < poolers; p++) {
             offset[p] = random.nextLong(10 * S) - 5 * S;
@@ -140,45 +140,45 @@
                 committedAt.add(now);
                 versions.add(version);
             }
-            // what was due at some moment that the bound still lets a pooler serve from
+            // the versions that a pooler may still serve within the staleness bound
             List<Long> allowed = new ArrayList<>();
-            boolean any = true;
+            boolean allCommitsRecent = true;
             for (int i = 0; i < committedAt.size(); i++) {
-                boolean followed = i + 1 < committedAt.size() && committedAt.get(i + 1) + delay < now - bound - step;
-                if (!followed) {
+                boolean superseded = i + 1 < committedAt.size() && committedAt.get(i + 1) + delay < now - bound - step;
+                if (!superseded) {
                     allowed.add(versions.get(i).number());
                 }
-                any &= committedAt.get(i) + delay >= now - bound - step;
+                allCommitsRecent &= committedAt.get(i) + delay >= now - bound - step;
             }
-            boolean anything = any;
+            boolean initialVersionAllowed = allCommitsRecent;
             for (int p = 0; p < poolers; p++) {
                 long local = now + offset[p];
                 if (random.nextInt(300) == 0) {
-                    cutUntil[p] = now + random.nextLong(3 * bound);
+                    disconnectedUntil[p] = now + random.nextLong(3 * bound);
                 }
                 if (random.nextInt(600) == 0 && now >= downUntil[p]) {
-                    diedAt[p] = now;
+                    stoppedAt[p] = now;
                     downUntil[p] = now + random.nextLong(2 * bound);
                 }
                 if (now < downUntil[p]) {
                     continue;
                 }
-                if (diedAt[p] > 0) { // started again with what its file kept
-                    State was = views[p].stateAt(diedAt[p] + offset[p]);
-                    views[p] = new PolicyView(views[p].newestVersion(), was.ageNs() + now - diedAt[p], bound, local);
-                    diedAt[p] = 0;
+                if (stoppedAt[p] > 0) { // restarted with the version it had stored
+                    State stateAtStop = views[p].stateAt(stoppedAt[p] + offset[p]);
+                    views[p] = new PolicyView(views[p].newestVersion(), stateAtStop.ageNs() + now - stoppedAt[p], bound, local);
+                    stoppedAt[p] = 0;
                 }
-                if (now >= cutUntil[p] && random.nextInt(5) == 0) {
+                if (now >= disconnectedUntil[p] && random.nextInt(5) == 0) {
                     int last = committed.size() - 1;
-                    heard(views[p], last < 0 ? null : committed.get(last), last < 0 ? null : versions.get(last), local);
+                    updateAndConfirm(views[p], last < 0 ? null : committed.get(last), last < 0 ? null : versions.get(last), local);
                 }
-                State standing = views[p].stateAt(local);
-                if (standing instanceof Serve serve) {
-                    assertTrue(serve.serial() <= committed.size(), "ahead of the store");
+                State state = views[p].stateAt(local);
+                if (state instanceof Serving serving) {
+                    assertTrue(serving.serial() <= committed.size(), "ahead of the store");
                     long at = now;
                     PolicyView view = views[p];
-                    assertTrue(anything || allowed.contains(serve.version().number()), () -> "serves version "
-                            + serve.version().number() + " at " + at + " where " + allowed + " may be; " + view);
+                    assertTrue(initialVersionAllowed || allowed.contains(serving.version().number()), () -> "serves version "
+                            + serving.version().number() + " at " + at + " where " + allowed + " may be; " + view);
                 }
             }
         }
--- a/store/src/test/java/holdmux/store/QuorumTest.java
+++ b/store/src/test/java/holdmux/store/QuorumTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** When a pooler may count what it knows as confirmed. */
+/** Up to which time a pooler's knowledge counts as confirmed. */
 class QuorumTest {
     @Test
-    void theOldestOfTheNewestMajorityCounts() {
+    void confirmedTimeIsTheMajoritysOldestRequest() {
         Quorum quorum = new Quorum();
         List<String> members = List.of("n1", "n2", "n3");
         quorum.answered("n1", 5);
@@ -26,18 +26,18 @@
         quorum.answered("n3", 7);
         assertTrue(quorum.isMajority(members));
         assertEquals(5, quorum.confirmedNs(members));
-        quorum.answered("n1", 3); // come late
+        quorum.answered("n1", 3); // arrives late
         quorum.answered("n2", 8);
         assertEquals(7, quorum.confirmedNs(members));
     }
 
     /**
-     * Entries reach single logs in any order and pace, are in the store once a majority holds them, and are applied later
-     * still; members are asked, and their answers come much later, as from a process that was stopped. Whatever a pooler
-     * counts as confirmed at a moment, no entry that was in the store before that moment is unknown to it.
+     * Entries reach the members' logs at different times, are committed once a majority has them and applied later still;
+     * answers may arrive long after the question, as from a paused process. Every entry committed before the confirmed time
+     * must be known.
      */
     @Property(tries = 500, seed = "20261203")
-    void nothingFromBeforeAConfirmedMomentIsUnknown(@ForAll long seed) {
+    void everyEntryCommittedBeforeTheConfirmedTimeIsKnown(@ForAll long seed) {
         Random random = new Random(seed);
         int size = random.nextBoolean() ? 3 : 5;
         List<String> members = new ArrayList<>();
@@ -46,29 +46,29 @@
         }
         int[] logged = new int[size];
         int[] applied = new int[size];
-        List<Long> inStoreAt = new ArrayList<>(); // entry i + 1
+        List<Long> committedAt = new ArrayList<>(); // entry i + 1
         record Answer(int member, long asked, int known, boolean settled) {}
-        List<Answer> underWay = new ArrayList<>();
+        List<Answer> inFlight = new ArrayList<>();
         Quorum quorum = new Quorum();
         int known = 0;
         for (long now = 1; now < 400; now++) {
             int m = random.nextInt(size);
             switch (random.nextInt(4)) {
                 case 0 -> {
-                    // one more entry at most is on its way to the logs
-                    logged[m] = Math.min(logged[m] + 1, inStoreAt.size() + 1);
+                    // at most one uncommitted entry is being replicated
+                    logged[m] = Math.min(logged[m] + 1, committedAt.size() + 1);
                     int[] sorted = logged.clone();
                     Arrays.sort(sorted);
-                    if (sorted[size / 2] > inStoreAt.size()) {
-                        inStoreAt.add(now);
+                    if (sorted[size / 2] > committedAt.size()) {
+                        committedAt.add(now);
                     }
                 }
-                case 1 -> applied[m] = Math.min(logged[m], inStoreAt.size());
-                case 2 -> underWay.add(new Answer(m, now - random.nextInt(3), applied[m], applied[m] == logged[m]));
+                case 1 -> applied[m] = Math.min(logged[m], committedAt.size());
+                case 2 -> inFlight.add(new Answer(m, now - random.nextInt(3), applied[m], applied[m] == logged[m]));
                 default -> {
-                    if (!underWay.isEmpty()) {
-                        Collections.shuffle(underWay, random);
-                        Answer answer = underWay.remove(0);
+                    if (!inFlight.isEmpty()) {
+                        Collections.shuffle(inFlight, random);
+                        Answer answer = inFlight.remove(0);
                         known = Math.max(known, answer.known());
                         if (answer.settled()) {
                             quorum.answered("n" + answer.member(), answer.asked());
@@ -78,8 +78,8 @@
             }
             if (quorum.isMajority(members)) {
                 long confirmed = quorum.confirmedNs(members);
-                long before = inStoreAt.stream().filter(at -> at < confirmed).count();
-                assertTrue(known >= before, "knows " + known + " of " + before + " in the store before " + confirmed);
+                long committedBefore = committedAt.stream().filter(at -> at < confirmed).count();
+                assertTrue(known >= committedBefore, "knows " + known + " of " + committedBefore + " committed before " + confirmed);
             }
         }
     }
--- a/store/src/test/java/holdmux/store/raft/StoreMemberTest.java
+++ b/store/src/test/java/holdmux/store/raft/StoreMemberTest.java
@@ -9,11 +9,11 @@
 import holdmux.standins.StandIns;
 import holdmux.store.Entry.Activate;
 import holdmux.store.Entry.Propose;
-import holdmux.store.ProtoMapper;
+import holdmux.store.EntryResult;
 import holdmux.store.PolicyHistory;
 import holdmux.store.PolicyVersion;
+import holdmux.store.ProtoMapper;
 import holdmux.store.Validator;
-import holdmux.store.EntryResult;
 import holdmux.store.wire.Answer;
 import holdmux.store.wire.Empty;
 import holdmux.store.wire.Poll;
@@ -32,13 +32,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three members on real logs in one process, each reached through a relay: what the store promises its clients. */
+/** The store's guarantees to its clients: three members with real logs in one process, each reached through a relay. */
 @Timeout(120)
 class StoreMemberTest {
     private static final Validator ANY = text -> text.contains("bad") ? "it is bad" : "";
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private final Map<String, StoreMember> members = new LinkedHashMap<>();
     private final Map<String, FaultRelay> relays = new LinkedHashMap<>();
@@ -63,8 +63,8 @@
         client = new StoreClient(all, 1_000, 20_000);
     }
 
-    private void start(String name, boolean first, Validator validator) throws IOException {
-        members.put(name, new StoreMember(name, all, all.address(name), folder.resolve(name), first, validator));
+    private void start(String name, boolean bootstrap, Validator validator) throws IOException {
+        members.put(name, new StoreMember(name, all, all.address(name), directory.resolve(name), bootstrap, validator));
     }
 
     @AfterEach
@@ -78,31 +78,31 @@
         }
     }
 
-    /** Tries until it gives something that holds; elections take their time. */
-    private static <T> T until(Callable<T> get, Predicate<T> holds) throws Exception {
-        long by = System.nanoTime() + 20_000_000_000L;
+    /** Retries until the condition holds, since leader elections take a while. */
+    private static <T> T eventually(Callable<T> get, Predicate<T> condition) throws Exception {
+        long deadline = System.nanoTime() + 20_000_000_000L;
         while (true) {
-            String seen;
+            String last;
             try {
-                T got = get.call();
-                if (holds.test(got)) {
-                    return got;
+                T result = get.call();
+                if (condition.test(result)) {
+                    return result;
                 }
-                seen = String.valueOf(got);
+                last = String.valueOf(result);
             } catch (IOException e) {
-                seen = e.getMessage();
+                last = e.getMessage();
             }
-            assertTrue(System.nanoTime() < by, "waited in vain; last seen: " + seen);
+            assertTrue(System.nanoTime() < deadline, "timed out; last result: " + last);
             Thread.sleep(50);
         }
     }
 
     private EntryResult propose(long number, String text) throws Exception {
-        return until(() -> client.write(new Propose(PolicyVersion.of(number, number - 1, text, "ana"))), v -> true);
+        return eventually(() -> client.write(new Propose(PolicyVersion.of(number, number - 1, text, "ana"))), v -> true);
     }
 
     private void activate(long number) throws Exception {
-        until(() -> client.write(new Activate(number, 0, "ana", 0)), v -> v.accepted() || v.reason().contains("already"));
+        eventually(() -> client.write(new Activate(number, 0, "ana", 0)), v -> v.accepted() || v.reason().contains("already"));
     }
 
     private PolicyHistory history(String member) throws IOException {
@@ -114,16 +114,16 @@
         return Question.newBuilder().setPoll(Poll.newBuilder().setSeenSerial(seen).setHoldMs(holdMs)).build();
     }
 
-    /** Every member tells the same; what is refused is refused in the store's own words; a poll waits for news. */
+    /** All members give the same answers, refusals carry the store's reason, and a held poll returns on an activation. */
     @Test
-    void whatOneIsToldAllTell() throws Exception {
+    void allMembersAgreeAndPollsWaitForUpdates() throws Exception {
         start(3);
         assertTrue(propose(1, "{}").accepted());
         assertEquals("not a valid policy: it is bad", propose(2, "{\"bad\":1}").reason());
         assertTrue(propose(3, "{}").reason().startsWith("version 3 cannot follow 1"));
         activate(1);
         for (String name : all.names()) {
-            PolicyHistory history = until(() -> history(name), h -> h.active().isPresent() && h.checks(1).size() == 3);
+            PolicyHistory history = eventually(() -> history(name), h -> h.active().isPresent() && h.checks(1).size() == 3);
             assertEquals(1, history.newestNumber());
             assertEquals("{}", ProtoMapper.toVersion(client.ask(poll(0, 0), name).getNews().getVersion()).text());
         }
@@ -139,79 +139,79 @@
         assertEquals(2, held.get().getNews().getVersion().getNumber());
     }
 
-    /** A member that was down, or whose connections were reset, is soon back with the history of the others. */
+    /** A member that was down, or whose connections were reset, catches up with the others' history. */
     @Test
-    void aMemberThatWasDownCatchesUp() throws Exception {
+    void memberCatchesUpAfterAnOutage() throws Exception {
         start(3);
         assertTrue(propose(1, "{}").accepted());
         members.remove("n2").close();
         activate(1);
         start("n2", false, ANY);
-        until(() -> history("n2"), h -> h.active().isPresent());
+        eventually(() -> history("n2"), h -> h.active().isPresent());
         for (FaultRelay relay : relays.values()) {
             relay.setMode(FaultRelay.Mode.RESET);
         }
-        assertThrows(IOException.class, () -> client.ask(poll(0, 0)), "nobody can confirm anything");
+        assertThrows(IOException.class, () -> client.ask(poll(0, 0)), "no member can be reached");
         for (FaultRelay relay : relays.values()) {
             relay.setMode(FaultRelay.Mode.PASS);
         }
         assertTrue(propose(2, "{\"a\":2}").accepted());
         activate(2);
         for (String name : all.names()) {
-            assertEquals(2, until(() -> history(name), h -> h.newestNumber() == 2).newestNumber());
+            assertEquals(2, eventually(() -> history(name), h -> h.newestNumber() == 2).newestNumber());
         }
     }
 
-    /** Without a majority nothing is taken, and nobody is told that what they know is still in force. */
+    /** Without a majority, writes fail and no client gets a confirmation that its version is still in force. */
     @Test
-    void withoutAMajorityNothingIsTakenOrConfirmed() throws Exception {
+    void withoutAMajorityNothingIsWrittenOrConfirmed() throws Exception {
         start(3);
         assertTrue(propose(1, "{}").accepted());
         activate(1);
         members.remove("n1").close();
         members.remove("n2").close();
         assertThrows(IOException.class, () -> client.write(new Propose(PolicyVersion.of(2, 1, "{}", "ana"))));
-        assertThrows(IOException.class, () -> client.ask(poll(0, 0)), "one answers, which confirms nothing");
+        assertThrows(IOException.class, () -> client.ask(poll(0, 0)), "one answer of three confirms nothing");
         start("n1", false, ANY);
-        until(() -> history("n3"), h -> h.active().isPresent());
+        eventually(() -> history("n3"), h -> h.active().isPresent());
     }
 
-    /** A version that one member's program cannot serve stays out of force. */
+    /** A version that one member's program cannot serve must not be activated. */
     @Test
-    void oneMembersObjectionKeepsAVersionOutOfForce() throws Exception {
+    void oneFailedCheckPreventsActivation() throws Exception {
         start(3);
         assertTrue(propose(1, "{}").accepted());
         members.remove("n3").close();
         start("n3", false, text -> "older program");
-        until(() -> history("n1"), h -> h.checks(1).stream().anyMatch(c -> c.problem().isEmpty()));
-        until(() -> client.write(new Activate(1, 0, "ana", 0)), v -> true);
+        eventually(() -> history("n1"), h -> h.checks(1).stream().anyMatch(c -> c.problem().isEmpty()));
+        eventually(() -> client.write(new Activate(1, 0, "ana", 0)), v -> true);
         assertTrue(propose(2, "{\"a\":2}").accepted());
-        until(() -> history("n1"), h -> h.checks(2).stream().anyMatch(c -> c.member().equals("n3")));
-        EntryResult verdict = client.write(new Activate(2, 0, "ana", 0));
-        assertFalse(verdict.accepted());
-        assertTrue(verdict.reason().contains("member n3 cannot serve under version 2: older program"), verdict.reason());
+        eventually(() -> history("n1"), h -> h.checks(2).stream().anyMatch(c -> c.member().equals("n3")));
+        EntryResult result = client.write(new Activate(2, 0, "ana", 0));
+        assertFalse(result.accepted());
+        assertTrue(result.reason().contains("member n3 cannot serve under version 2: older program"), result.reason());
     }
 
-    /** A torn snapshot is put aside with a word, and the member is whole again from the one before, or from the others. */
+    /** A corrupt snapshot is renamed, and the member recovers from the previous one or from the other members. */
     @Test
-    void aTornSnapshotIsPutAside() throws Exception {
+    void corruptSnapshotIsSetAside() throws Exception {
         start(3);
         for (int i = 1; i <= 130; i++) { // four entries each: two snapshots
             assertTrue(propose(i, "{\"a\":" + i + "}").accepted());
         }
-        until(() -> history("n1"), h -> h.checks(130).size() == 3);
+        eventually(() -> history("n1"), h -> h.checks(130).size() == 3);
         members.remove("n1").close();
-        Path torn;
-        try (var files = Files.walk(folder.resolve("n1"))) {
-            torn = files.filter(f -> f.getFileName().toString().matches("snapshot\\.\\d+_\\d+"))
+        Path snapshot;
+        try (var files = Files.walk(directory.resolve("n1"))) {
+            snapshot = files.filter(f -> f.getFileName().toString().matches("snapshot\\.\\d+_\\d+"))
                     .max(Comparator.comparingLong(f -> Long.parseLong(f.toString().replaceAll(".*_", "")))).orElseThrow();
         }
-        byte[] bytes = Files.readAllBytes(torn);
+        byte[] bytes = Files.readAllBytes(snapshot);
         bytes[bytes.length / 2] ^= 1;
-        Files.write(torn, bytes);
+        Files.write(snapshot, bytes);
         start("n1", false, ANY);
-        PolicyHistory whole = until(() -> history("n1"), h -> h.newestNumber() == 130);
-        assertEquals(history("n2").versions(), whole.versions());
-        assertTrue(Files.exists(torn.resolveSibling("unfit-" + torn.getFileName())));
+        PolicyHistory restored = eventually(() -> history("n1"), h -> h.newestNumber() == 130);
+        assertEquals(history("n2").versions(), restored.versions());
+        assertTrue(Files.exists(snapshot.resolveSibling("unfit-" + snapshot.getFileName())));
     }
 }
