--- a/store/src/main/java/holdmux/store/raft/StoreClient.java
+++ b/store/src/main/java/holdmux/store/raft/StoreClient.java
@@ -34,13 +34,16 @@
 
 /**
  * Client of the store. Questions go to the named member only; log entries go to the current leader. Every call has a
- * time-out. A failed connection is discarded, because gRPC would retry it with growing back-off. Thread-safe.
+ * time-out. A failed connection is discarded, because the library would reconnect it with growing back-off. Thread-safe.
  */
 public final class StoreClient implements Closeable {
     /** Attempts of one write, enough to outlast a leader election; the pause is a fraction of an election time-out. */
     private static final int MAX_WRITE_ATTEMPTS = 12, WRITE_RETRY_MS = 250;
 
-    /** A log is ahead of the applied index for a round trip or, after losing its leader, until a new one is elected. */
+    /**
+     * A confirmed read retries for this many call time-outs: a member's log is ahead of its applied index for a round trip or,
+     * after losing the leader, until a new one is elected.
+     */
     private static final int CONFIRM_TIMEOUTS = 5, CONFIRM_RETRY_MS = 30;
 
     /** Status of one member as reported by itself; {@code members} lists all members as {@code name=address}. */
