--- a/app/src/main/java/holdmux/app/Commands.java
+++ b/app/src/main/java/holdmux/app/Commands.java
@@ -30,23 +30,23 @@
 /** The command line: names, options, help and exit codes; what a command does stands elsewhere. */
 @Command(name = "holdmux", description = "Routes each request to the one server of its group that may answer it.",
         subcommands = {Commands.ServeCommand.class, Commands.SimHostCommand.class, Commands.DemoCommand.class,
-            Commands.BenchCommand.class, Commands.DrillCommand.class, Commands.SoakCommand.class, PolicyCommands.class, StoreCommands.class, Commands.VersionCommand.class,
-            HelpCommand.class},
+            Commands.BenchCommand.class, Commands.DrillCommand.class, Commands.SoakCommand.class,
+            PolicyCommands.class, StoreCommands.class, Commands.VersionCommand.class, HelpCommand.class},
         synopsisSubcommandLabel = "COMMAND", footer = {"", "Exit codes: 0 done, 1 a fault, 2 wrong usage."})
 final class Commands {
     private Commands() {}
 
     /** Runs one command; the exit code is 0 when done, 1 for a fault, 2 for wrong usage. */
     static int run(String... args) {
-        CommandLine line = new CommandLine(new Commands()).setExecutionExceptionHandler((e, command, result) -> {
+        CommandLine commandLine = new CommandLine(new Commands()).setExecutionExceptionHandler((e, command, result) -> {
             command.getErr().println("holdmux: " + e.getMessage());
             return CommandLine.ExitCode.SOFTWARE;
         });
         if (args.length == 0) {
-            line.usage(line.getErr());
+            commandLine.usage(commandLine.getErr());
             return CommandLine.ExitCode.USAGE;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
     @Command(name = "serve", description = "Serves clients until SIGTERM.", mixinStandardHelpOptions = true,
@@ -68,14 +68,14 @@
 
         @Override
         public Integer call() throws IOException {
-            List<Extension> parts = new ArrayList<>();
+            List<Extension> extensions = new ArrayList<>();
             if (flight != null || !flightKinds.isEmpty()) {
-                parts.add(new FlightExtension(flight, flightKinds));
+                extensions.add(new FlightExtension(flight, flightKinds));
             }
-            if (store.isOn()) {
-                parts.add(store.part());
+            if (store.isEnabled()) {
+                extensions.add(store.extension());
             }
-            return Serve.run(parts);
+            return Serve.run(extensions);
         }
     }
 
@@ -95,14 +95,14 @@
     static final class DemoCommand implements Callable<Integer> {
         @Option(names = "--for", paramLabel = "DURATION", defaultValue = "10s", converter = DurationConverter.class,
                 description = "How long the load lasts, as 10s or 2m (default: ${DEFAULT-VALUE}).")
-        private Duration length;
+        private Duration duration;
 
         @Option(names = "--stay", description = "Goes on serving after the load, until Ctrl-C.")
         private boolean stay;
 
         @Override
         public Integer call() throws Exception {
-            return new Demo(length, stay, System.out).run();
+            return new Demo(duration, stay, System.out).run();
         }
     }
 
@@ -159,7 +159,7 @@
 
         @Option(names = "--for", paramLabel = "DURATION", defaultValue = "30s", converter = DurationConverter.class,
                 description = "How long faults come, for each seed (default: ${DEFAULT-VALUE}).")
-        private Duration length;
+        private Duration duration;
 
         @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "The first seed.")
         private long seed;
@@ -172,14 +172,14 @@
 
         @Override
         public Integer call() throws Exception {
-            int broken = 0;
+            int failures = 0;
             for (int i = 0; i < seeds; i++) {
                 try (FaultSoak soak = new FaultSoak(System.out)) {
-                    broken += soak.run(poolers, (int) length.toSeconds(), seed + i, syscalls).isEmpty() ? 0 : 1;
+                    failures += soak.run(poolers, (int) duration.toSeconds(), seed + i, syscalls).isEmpty() ? 0 : 1;
                 }
             }
-            System.out.println(seeds - broken + " passed, " + broken + " failed");
-            return broken == 0 ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+            System.out.println(seeds - failures + " passed, " + failures + " failed");
+            return failures == 0 ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
         }
     }
 
@@ -189,9 +189,9 @@
             if (!text.matches("[0-9]{1,6}(ms|s|m)")) {
                 throw new TypeConversionException("not a duration: " + text);
             }
-            long number = Long.parseLong(text.replaceAll("[a-z]", ""));
-            return text.endsWith("ms") ? Duration.ofMillis(number)
-                    : text.endsWith("s") ? Duration.ofSeconds(number) : Duration.ofMinutes(number);
+            long amount = Long.parseLong(text.replaceAll("[a-z]", ""));
+            return text.endsWith("ms") ? Duration.ofMillis(amount)
+                    : text.endsWith("s") ? Duration.ofSeconds(amount) : Duration.ofMinutes(amount);
         }
     }
 
--- a/app/src/main/java/holdmux/app/PolicyCommands.java
+++ b/app/src/main/java/holdmux/app/PolicyCommands.java
@@ -42,7 +42,7 @@
     private PolicyCommands() {}
 
     /** What each of these needs: the members, and how long to wait for one. */
-    abstract static class Asking implements Callable<Integer> {
+    abstract static class StoreClientCommand implements Callable<Integer> {
         @Option(names = {"-m", "--store-members"}, paramLabel = "MEMBERS", required = true,
                 defaultValue = "${env:HOLDMUX_STORE_MEMBERS}",
                 description = "The store's members, as n1=10.0.0.1:7001,... (or $HOLDMUX_STORE_MEMBERS).")
@@ -51,7 +51,7 @@
         @Option(names = "--wait", paramLabel = "DURATION", defaultValue = "2s",
                 converter = Commands.DurationConverter.class,
                 description = "How long one member may take to answer (default: ${DEFAULT-VALUE}).")
-        private Duration wait;
+        private Duration timeout;
 
         final PrintStream out = System.out;
 
@@ -59,9 +59,9 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Members all = Members.parse(members);
-            try (StoreClient store = new StoreClient(all, wait.toMillis())) {
-                return run(store, all);
+            Members parsedMembers = Members.parse(members);
+            try (StoreClient store = new StoreClient(parsedMembers, timeout.toMillis())) {
+                return run(store, parsedMembers);
             }
         }
 
@@ -74,39 +74,39 @@
             return ProtoMapper.toVersion(store.ask(Question.newBuilder().setVersion(number).build()).getVersion());
         }
 
-        final int told(EntryResult verdict, String done) {
-            out.println(verdict.accepted() ? done : "refused: " + verdict.reason());
-            return verdict.accepted() ? 0 : 1;
+        final int printResult(EntryResult result, String successMessage) {
+            out.println(result.accepted() ? successMessage : "refused: " + result.reason());
+            return result.accepted() ? 0 : 1;
         }
 
         /** Puts a version in force, giving the members a moment to check one that has just been proposed. */
-        final int activate(StoreClient store, long number, Duration delay, String by)
+        final int activate(StoreClient store, long number, Duration delay, String author)
                 throws IOException, InterruptedException {
-            EntryResult verdict = store.write(new Activate(number, delay.toNanos(), by, 0));
-            for (int tries = 0; tries < CHECK_TRIES && verdict.reason().startsWith("only "); tries++) {
-                Thread.sleep(CHECK_AGAIN_MS);
-                verdict = store.write(new Activate(number, delay.toNanos(), by, 0));
+            EntryResult result = store.write(new Activate(number, delay.toNanos(), author, 0));
+            for (int attempt = 0; attempt < MAX_CHECK_RETRIES && result.reason().startsWith("only "); attempt++) {
+                Thread.sleep(CHECK_RETRY_MS);
+                result = store.write(new Activate(number, delay.toNanos(), author, 0));
             }
-            return told(verdict, "version " + number + " is in force, " + delay.toMillis()
+            return printResult(result, "version " + number + " is in force, " + delay.toMillis()
                     + " ms after each pooler hears of it");
         }
     }
 
     /** A majority of members checks a version within a moment of its being kept, or is not there. */
-    private static final int CHECK_TRIES = 20, CHECK_AGAIN_MS = 100;
+    private static final int MAX_CHECK_RETRIES = 20, CHECK_RETRY_MS = 100;
 
     /** Who asks, for the history. */
-    static final class By {
+    static final class AuthorOption {
         @Option(names = "--by", paramLabel = "NAME", defaultValue = "${sys:user.name}",
                 description = "Who asks, for the history (default: ${DEFAULT-VALUE}).")
-        private String by;
+        private String name;
     }
 
     @Command(name = "propose", mixinStandardHelpOptions = true, description = "Keeps a new version, made from the newest. "
             + "It is not in force until it is activated.")
-    static final class ProposeCommand extends Asking {
+    static final class ProposeCommand extends StoreClientCommand {
         @Mixin
-        private By by;
+        private AuthorOption author;
 
         @Option(names = "--based-on", paramLabel = "N",
                 description = "The version it was made from: refused if another has been kept since (default: the newest).")
@@ -128,22 +128,22 @@
             if (Files.size(file) > 2L * PolicyVersion.MAX_BYTES) {
                 throw new ConfigException(file + " is over " + PolicyVersion.MAX_BYTES + " bytes");
             }
-            String text = text(Files.readString(file));
+            String text = policyText(Files.readString(file));
             PolicyText.read(text); // a plain word here rather than from afar
             long newest = history(store).newestNumber();
             long base = basedOn == null ? newest : basedOn;
-            PolicyVersion version = PolicyVersion.of(base + 1, base, text, by.by);
-            int code = told(store.write(new Propose(version)), "version " + version.number() + " " + version.shortChecksum()
+            PolicyVersion version = PolicyVersion.of(base + 1, base, text, author.name);
+            int exitCode = printResult(store.write(new Propose(version)), "version " + version.number() + " " + version.shortChecksum()
                     + " is kept" + (activate ? "" : "; holdmux policy activate " + version.number() + " puts it in force"));
-            return code != 0 || !activate ? code : activate(store, version.number(), delay, by.by);
+            return exitCode != 0 || !activate ? exitCode : activate(store, version.number(), delay, author.name);
         }
 
         /** A whole configuration has addresses and limits, which are no policy. */
-        private static String text(String given) {
+        private static String policyText(String content) {
             try {
-                JSONObject all = new JSONObject(given);
-                return all.has("listen") && all.has("settings")
-                        ? new JSONObject().put("settings", all.getJSONObject("settings")).toString(2) : given;
+                JSONObject root = new JSONObject(content);
+                return root.has("listen") && root.has("settings")
+                        ? new JSONObject().put("settings", root.getJSONObject("settings")).toString(2) : content;
             } catch (JSONException e) {
                 throw new ConfigException("policy: " + e.getMessage());
             }
@@ -151,9 +151,9 @@
     }
 
     @Command(name = "activate", mixinStandardHelpOptions = true, description = "Puts a kept version in force everywhere.")
-    static final class ActivateCommand extends Asking {
+    static final class ActivateCommand extends StoreClientCommand {
         @Mixin
-        private By by;
+        private AuthorOption author;
 
         @Option(names = "--delay", paramLabel = "DURATION", defaultValue = "1s",
                 converter = Commands.DurationConverter.class,
@@ -166,15 +166,15 @@
 
         @Override
         int run(StoreClient store, Members members) throws IOException, InterruptedException {
-            return activate(store, number, delay, by.by);
+            return activate(store, number, delay, author.name);
         }
     }
 
     @Command(name = "rollback", mixinStandardHelpOptions = true,
             description = "Puts an older version in force again: the one before, or the one named; without delay.")
-    static final class RollbackCommand extends Asking {
+    static final class RollbackCommand extends StoreClientCommand {
         @Mixin
-        private By by;
+        private AuthorOption author;
 
         @Parameters(paramLabel = "N", arity = "0..1", description = "The version (default: the one in force before).")
         private Long number;
@@ -182,27 +182,27 @@
         @Override
         int run(StoreClient store, Members members) throws IOException, InterruptedException {
             if (number == null) {
-                List<PolicyHistory.Activation> all = history(store).activations();
-                if (all.size() < 2) {
-                    return told(new EntryResult(false, "there was none in force before"), "");
+                List<PolicyHistory.Activation> activations = history(store).activations();
+                if (activations.size() < 2) {
+                    return printResult(new EntryResult(false, "there was none in force before"), "");
                 }
-                number = all.get(all.size() - 2).number();
+                number = activations.get(activations.size() - 2).number();
             }
-            return activate(store, number, Duration.ZERO, by.by);
+            return activate(store, number, Duration.ZERO, author.name);
         }
     }
 
     @Command(name = "history", mixinStandardHelpOptions = true, description = "Lists versions, their checks and activations.")
-    static final class HistoryCommand extends Asking {
+    static final class HistoryCommand extends StoreClientCommand {
         @Override
         int run(StoreClient store, Members members) throws IOException {
             PolicyHistory history = history(store);
-            for (PolicyVersion v : history.versions()) {
+            for (PolicyVersion version : history.versions()) {
                 List<String> checks = new ArrayList<>();
-                history.checks(v.number()).forEach(c -> checks.add(c.member() + (c.problem().isEmpty() ? " valid"
+                history.checks(version.number()).forEach(c -> checks.add(c.member() + (c.problem().isEmpty() ? " valid"
                         : " INVALID (" + c.problem() + ")")));
-                out.println("version " + v.number() + " " + v.sha256().substring(0, 12) + " from " + v.basedOn() + " by "
-                        + v.by() + (checks.isEmpty() ? "" : ": " + String.join(", ", checks)));
+                out.println("version " + version.number() + " " + version.sha256().substring(0, 12) + " from " + version.basedOn() + " by "
+                        + version.by() + (checks.isEmpty() ? "" : ": " + String.join(", ", checks)));
             }
             history.activations().forEach(a -> out.println("activation " + a.serial() + ": version " + a.number()
                     + " after " + a.delayNs() / 1_000_000 + " ms by " + a.by()));
@@ -211,7 +211,7 @@
     }
 
     @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints the text of a version.")
-    static final class ShowCommand extends Asking {
+    static final class ShowCommand extends StoreClientCommand {
         @Parameters(paramLabel = "N", description = "The version.")
         private long number;
 
@@ -223,7 +223,7 @@
     }
 
     @Command(name = "diff", mixinStandardHelpOptions = true, description = "Tells what differs between two versions, by key.")
-    static final class DiffCommand extends Asking {
+    static final class DiffCommand extends StoreClientCommand {
         @Parameters(index = "0", paramLabel = "N", description = "A version.")
         private long from;
 
@@ -232,15 +232,15 @@
 
         @Override
         int run(StoreClient store, Members members) throws IOException {
-            long other = to != null ? to : history(store).active().map(PolicyHistory.Activation::number).orElse(0L);
-            PolicyDiff.lines(version(store, from).text(), version(store, other).text()).forEach(out::println);
+            long target = to != null ? to : history(store).active().map(PolicyHistory.Activation::number).orElse(0L);
+            PolicyDiff.lines(version(store, from).text(), version(store, target).text()).forEach(out::println);
             return 0;
         }
     }
 
     @Command(name = "status", mixinStandardHelpOptions = true,
             description = "Tells what is in force, and which pooler serves under which version since when.")
-    static final class StatusCommand extends Asking {
+    static final class StatusCommand extends StoreClientCommand {
         @Override
         int run(StoreClient store, Members members) throws IOException {
             PolicyHistory history = history(store);
@@ -258,15 +258,15 @@
                 }
             }
             for (Heard heard : FleetView.merge(fleets)) {
-                var s = heard.getStanding();
-                out.printf("%-24s version %d, activation %d, for %s, heard %s ago%s%n", s.getPooler(), s.getNumber(),
-                        s.getSerial(), seconds(s.getSinceMs()), seconds(heard.getAgoMs()),
-                        s.getClosed().isEmpty() ? "" : ", CLOSED: " + s.getClosed());
+                var standing = heard.getStanding();
+                out.printf("%-24s version %d, activation %d, for %s, heard %s ago%s%n", standing.getPooler(), standing.getNumber(),
+                        standing.getSerial(), formatAge(standing.getSinceMs()), formatAge(heard.getAgoMs()),
+                        standing.getClosed().isEmpty() ? "" : ", CLOSED: " + standing.getClosed());
             }
             return 0;
         }
 
-        private static String seconds(long ms) {
+        private static String formatAge(long ms) {
             return ms < 10_000 ? ms + " ms" : ms / 1_000 + " s";
         }
     }
--- a/app/src/main/java/holdmux/app/StoreFlags.java
+++ b/app/src/main/java/holdmux/app/StoreFlags.java
@@ -48,26 +48,26 @@
             converter = Commands.DurationConverter.class,
             description = "How long this pooler may serve a version that the store has not confirmed "
                     + "(default: ${DEFAULT-VALUE}, 3s at least).")
-    private Duration bound;
+    private Duration stalenessBound;
 
-    boolean isOn() {
+    boolean isEnabled() {
         return members != null;
     }
 
-    Extension part() {
+    Extension extension() {
         try {
-            Members all = Members.parse(members);
+            Members parsedMembers = Members.parse(members);
             if (folder == null) {
                 throw new ConfigException("--store-members needs --store-dir");
             }
-            if (id != null && listen == null && all.address(id) == null) {
+            if (id != null && listen == null && parsedMembers.address(id) == null) {
                 throw new ConfigException("--store-id " + id + " is none of the members; say --store-listen for one to come");
             }
-            if (bound.compareTo(StoreOptions.MIN_STALENESS_BOUND) < 0) {
+            if (stalenessBound.compareTo(StoreOptions.MIN_STALENESS_BOUND) < 0) {
                 throw new ConfigException("--policy-bound is under " + StoreOptions.MIN_STALENESS_BOUND.toSeconds() + "s");
             }
             routes.forEach((name, address) -> MemberRoutes.set(name, Config.address(address)));
-            return new StoreExtension(new StoreOptions(all, id, listen, folder, first, bound));
+            return new StoreExtension(new StoreOptions(parsedMembers, id, listen, folder, first, stalenessBound));
         } catch (ConfigException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
--- a/app/src/main/java/holdmux/app/bench/Clients.java
+++ b/app/src/main/java/holdmux/app/bench/Clients.java
@@ -14,16 +14,16 @@
         void read(String sql) throws Exception;
     }
 
-    static final class Pg implements Reader {
+    static final class PgReader implements Reader {
         private final PgClient client;
 
-        Pg(int port) throws Exception {
+        PgReader(int port) throws Exception {
             client = new PgClient(port);
         }
 
         @Override
         public void read(String sql) {
-            if (client.ask(sql) != QuoteClient.Ending.SERVED) {
+            if (client.execute(sql) != QuoteClient.Outcome.SERVED) {
                 throw new IllegalStateException("not served");
             }
         }
@@ -34,10 +34,10 @@
         }
     }
 
-    static final class Flight implements Reader {
+    static final class FlightReader implements Reader {
         private final FlightSqlClient client;
 
-        Flight(FlightSqlClient client) {
+        FlightReader(FlightSqlClient client) {
             this.client = client;
         }
 
--- a/app/src/main/java/holdmux/app/bench/FlightBench.java
+++ b/app/src/main/java/holdmux/app/bench/FlightBench.java
@@ -30,12 +30,12 @@
 public final class FlightBench {
     private static final int TABLE_MIB = 64;
     /** A row is a long and an int, and their validity: a batch of a MiB. */
-    private static final int ROWS_A_MIB = (1 << 20) * 8 / (64 + 32 + 2);
+    private static final int ROWS_PER_MIB = (1 << 20) * 8 / (64 + 32 + 2);
     private static final int SMALL_READS = 400;
     private static final int LOAD_CLIENTS = 8;
-    private static final long LOAD_NS = 2_000_000_000L;
+    private static final long LOAD_DURATION_NS = 2_000_000_000L;
     /** Rounds that do not count: gRPC and Netty are much code to compile. */
-    private static final int WARM_UPS = 4;
+    private static final int WARM_UP_ROUNDS = 4;
     private static final int MEMORY_MB = 1_024, SOCKETS = 8_192;
 
     private final int rounds;
@@ -50,13 +50,13 @@
     }
 
     /** One pooler process before the stand-ins. */
-    private static final class PoolerProcess implements AutoCloseable {
+    private static final class BenchPooler implements AutoCloseable {
         final int pgPort = StandIns.freePort();
         final int flightPort = StandIns.freePort();
         private final Process process;
         private final Path folder = Files.createTempDirectory("holdmux-bench");
 
-        PoolerProcess(StandIns standIns, boolean oneCore) throws IOException {
+        BenchPooler(StandIns standIns, boolean oneCore) throws IOException {
             Path config = folder.resolve("config.json");
             Files.writeString(config, standIns.config(pgPort, MEMORY_MB, SOCKETS));
             List<String> command = new ArrayList<>();
@@ -104,23 +104,23 @@
                 flight.start(name, StandIns.FLIGHT_KIND);
                 pg.start(name, StandIns.PG_KIND);
             }
-            boolean all = part.isEmpty();
-            try (PoolerProcess pooler = new PoolerProcess(flight, false)) {
-                if (all || part.equals("tables")) {
-                    tables(flight, pooler);
+            boolean runAll = part.isEmpty();
+            try (BenchPooler pooler = new BenchPooler(flight, false)) {
+                if (runAll || part.equals("tables")) {
+                    measureTableThroughput(flight, pooler);
                 }
-                if (all || part.equals("reads")) {
-                    smallReads(flight, pooler);
+                if (runAll || part.equals("reads")) {
+                    measureSmallReads(flight, pooler);
                 }
             }
-            if (all || part.equals("fronts")) {
-                try (PoolerProcess pooler = new PoolerProcess(pg, true)) {
-                    fronts(pooler);
+            if (runAll || part.equals("fronts")) {
+                try (BenchPooler pooler = new BenchPooler(pg, true)) {
+                    compareFronts(pooler);
                 }
             }
-            if (all || part.equals("memory")) {
-                try (PoolerProcess pooler = new PoolerProcess(flight, false)) {
-                    slowReaders(pooler);
+            if (runAll || part.equals("memory")) {
+                try (BenchPooler pooler = new BenchPooler(flight, false)) {
+                    measureSlowReaders(pooler);
                 }
             }
         }
@@ -128,15 +128,15 @@
     }
 
     private FlightSqlClient connect(int port) throws Exception {
-        for (int tries = 0;; tries++) {
+        for (int attempts = 0;; attempts++) {
             FlightSqlClient client = new FlightSqlClient(
                     FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port)).build());
             try {
-                read(client, small());
+                read(client, smallQuery());
                 return client;
             } catch (FlightRuntimeException e) {
                 client.close(); // not ready yet
-                if (tries > 200) {
+                if (attempts > 200) {
                     throw e;
                 }
                 Thread.sleep(50);
@@ -144,16 +144,16 @@
         }
     }
 
-    private synchronized String figures() {
+    private synchronized String requestComment() {
         return " /* id=b" + ++lastId + ",c=history,d=30000,cluster=1 */";
     }
 
-    private String small() {
-        return "SELECT data FROM facts WHERE code = 'k'" + figures();
+    private String smallQuery() {
+        return "SELECT data FROM facts WHERE code = 'k'" + requestComment();
     }
 
-    private String table(int batches) {
-        return "SELECT * FROM rates WHERE code = '" + batches + "x" + ROWS_A_MIB + "'" + figures();
+    private String tableQuery(int batches) {
+        return "SELECT * FROM rates WHERE code = '" + batches + "x" + ROWS_PER_MIB + "'" + requestComment();
     }
 
     private static int read(FlightSqlClient client, String sql) {
@@ -171,146 +171,148 @@
         }
     }
 
-    private void tables(StandIns standIns, PoolerProcess pooler) throws Exception {
-        try (FlightSqlClient straight = connect(standIns.address("s-2").getPort());
-                FlightSqlClient through = connect(pooler.flightPort)) {
+    private void measureTableThroughput(StandIns standIns, BenchPooler pooler) throws Exception {
+        try (FlightSqlClient directClient = connect(standIns.address("s-2").getPort());
+                FlightSqlClient pooledClient = connect(pooler.flightPort)) {
             double[] ratios = new double[rounds];
-            double[] mibs = new double[rounds];
-            for (int i = -WARM_UPS; i < rounds; i++) {
-                double direct = seconds(straight);
-                double pooled = seconds(through);
+            double[] mibPerSecond = new double[rounds];
+            for (int i = -WARM_UP_ROUNDS; i < rounds; i++) {
+                double directSeconds = timeTableRead(directClient);
+                double pooledSeconds = timeTableRead(pooledClient);
                 if (i >= 0) {
-                    ratios[i] = direct / pooled;
-                    mibs[i] = TABLE_MIB / pooled;
+                    ratios[i] = directSeconds / pooledSeconds;
+                    mibPerSecond[i] = TABLE_MIB / pooledSeconds;
                 }
             }
             out.printf("table of %d MiB, through the pooler / straight: throughput %s (%.0f MiB/s through)%n", TABLE_MIB,
-                    spread(ratios), quantile(mibs, 0.5));
+                    medianAndQuartiles(ratios), quantile(mibPerSecond, 0.5));
         }
     }
 
-    private double seconds(FlightSqlClient client) {
-        long from = System.nanoTime();
-        if (read(client, table(TABLE_MIB)) != TABLE_MIB * ROWS_A_MIB) {
+    private double timeTableRead(FlightSqlClient client) {
+        long startNs = System.nanoTime();
+        if (read(client, tableQuery(TABLE_MIB)) != TABLE_MIB * ROWS_PER_MIB) {
             throw new IllegalStateException("a short table");
         }
-        return (System.nanoTime() - from) / 1e9;
+        return (System.nanoTime() - startNs) / 1e9;
     }
 
-    private void smallReads(StandIns standIns, PoolerProcess pooler) throws Exception {
-        try (FlightSqlClient straight = connect(standIns.address("s-2").getPort());
-                FlightSqlClient through = connect(pooler.flightPort)) {
-            double[] median = new double[rounds];
-            double[] high = new double[rounds];
-            for (int i = -WARM_UPS; i < rounds; i++) {
-                Histogram direct = latencies(straight);
-                Histogram pooled = latencies(through);
+    private void measureSmallReads(StandIns standIns, BenchPooler pooler) throws Exception {
+        try (FlightSqlClient directClient = connect(standIns.address("s-2").getPort());
+                FlightSqlClient pooledClient = connect(pooler.flightPort)) {
+            double[] addedMedianMs = new double[rounds];
+            double[] addedP99Ms = new double[rounds];
+            for (int i = -WARM_UP_ROUNDS; i < rounds; i++) {
+                Histogram direct = latencies(directClient);
+                Histogram pooled = latencies(pooledClient);
                 if (i >= 0) {
-                    median[i] = (pooled.getValueAtPercentile(50) - direct.getValueAtPercentile(50)) / 1e3;
-                    high[i] = (pooled.getValueAtPercentile(99) - direct.getValueAtPercentile(99)) / 1e3;
+                    addedMedianMs[i] = (pooled.getValueAtPercentile(50) - direct.getValueAtPercentile(50)) / 1e3;
+                    addedP99Ms[i] = (pooled.getValueAtPercentile(99) - direct.getValueAtPercentile(99)) / 1e3;
                 }
             }
-            out.printf("a small read, added by the pooler: median %s ms, p99 %s ms%n", spread(median), spread(high));
+            out.printf("a small read, added by the pooler: median %s ms, p99 %s ms%n", medianAndQuartiles(addedMedianMs),
+                    medianAndQuartiles(addedP99Ms));
         }
     }
 
     private Histogram latencies(FlightSqlClient client) {
         Histogram histogram = new Histogram(60_000_000, 3);
         for (int i = 0; i < SMALL_READS; i++) {
-            long from = System.nanoTime();
-            read(client, small());
-            histogram.recordValue((System.nanoTime() - from) / 1_000);
+            long startNs = System.nanoTime();
+            read(client, smallQuery());
+            histogram.recordValue((System.nanoTime() - startNs) / 1_000);
         }
         return histogram;
     }
 
     /** Both fronts before PostgreSQL servers, the pooler on one core: requests a second and its CPU for each. */
-    private void fronts(PoolerProcess pooler) throws Exception {
+    private void compareFronts(BenchPooler pooler) throws Exception {
         connect(pooler.flightPort).close();
-        double[] rates = new double[rounds];
-        double[] costs = new double[rounds];
-        double[] pgRate = new double[rounds];
-        double[] pgCost = new double[rounds];
-        for (int i = -WARM_UPS; i < rounds; i++) {
-            double[] pg = load(pooler, () -> new Clients.Pg(pooler.pgPort));
-            double[] flight = load(pooler, () -> new Clients.Flight(connect(pooler.flightPort)));
+        double[] rateRatios = new double[rounds];
+        double[] cpuRatios = new double[rounds];
+        double[] pgRates = new double[rounds];
+        double[] pgCpuMs = new double[rounds];
+        for (int i = -WARM_UP_ROUNDS; i < rounds; i++) {
+            double[] pg = measureLoad(pooler, () -> new Clients.PgReader(pooler.pgPort));
+            double[] flight = measureLoad(pooler, () -> new Clients.FlightReader(connect(pooler.flightPort)));
             if (i >= 0) {
-                rates[i] = flight[0] / pg[0];
-                costs[i] = flight[1] / pg[1];
-                pgRate[i] = pg[0];
-                pgCost[i] = pg[1];
+                rateRatios[i] = flight[0] / pg[0];
+                cpuRatios[i] = flight[1] / pg[1];
+                pgRates[i] = pg[0];
+                pgCpuMs[i] = pg[1];
             }
         }
         out.printf("on one core, Flight SQL / PostgreSQL: requests a second %s, CPU a request %s (PostgreSQL: %.0f a second, "
-                + "%.0f us)%n", spread(rates), spread(costs), quantile(pgRate, 0.5), quantile(pgCost, 0.5) * 1e3);
+                + "%.0f us)%n", medianAndQuartiles(rateRatios), medianAndQuartiles(cpuRatios), quantile(pgRates, 0.5),
+                quantile(pgCpuMs, 0.5) * 1e3);
     }
 
     /** Requests a second, and milliseconds of the pooler's CPU for each. */
-    private double[] load(PoolerProcess pooler, Callable<Clients.Reader> opens) throws Exception {
-        ExecutorService threads = Executors.newFixedThreadPool(LOAD_CLIENTS);
+    private double[] measureLoad(BenchPooler pooler, Callable<Clients.Reader> openReader) throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(LOAD_CLIENTS);
         try {
             List<Clients.Reader> readers = new ArrayList<>();
             for (int i = 0; i < LOAD_CLIENTS; i++) {
-                readers.add(opens.call());
+                readers.add(openReader.call());
             }
-            double cpu = pooler.cpuMs();
-            long from = System.nanoTime();
-            List<Callable<Integer>> work = new ArrayList<>();
+            double cpuBeforeMs = pooler.cpuMs();
+            long startNs = System.nanoTime();
+            List<Callable<Integer>> tasks = new ArrayList<>();
             for (Clients.Reader reader : readers) {
-                work.add(() -> {
+                tasks.add(() -> {
                     int count = 0;
-                    while (System.nanoTime() - from < LOAD_NS) {
-                        reader.read(small());
+                    while (System.nanoTime() - startNs < LOAD_DURATION_NS) {
+                        reader.read(smallQuery());
                         count++;
                     }
                     return count;
                 });
             }
             int count = 0;
-            for (Future<Integer> future : threads.invokeAll(work)) {
+            for (Future<Integer> future : executor.invokeAll(tasks)) {
                 count += future.get();
             }
-            double seconds = (System.nanoTime() - from) / 1e9;
-            double used = pooler.cpuMs() - cpu;
+            double seconds = (System.nanoTime() - startNs) / 1e9;
+            double cpuUsedMs = pooler.cpuMs() - cpuBeforeMs;
             for (Clients.Reader reader : readers) {
                 reader.close();
             }
-            return new double[] {count / seconds, used / count};
+            return new double[] {count / seconds, cpuUsedMs / count};
         } finally {
-            threads.shutdown();
+            executor.shutdown();
         }
     }
 
     /** Readers that take one batch and then nothing, as many at a time as told; what the pooler holds for them. */
-    private void slowReaders(PoolerProcess pooler) throws Exception {
+    private void measureSlowReaders(BenchPooler pooler) throws Exception {
         connect(pooler.flightPort).close();
         Thread.sleep(500);
         out.printf("memory: %.0f MB at rest", pooler.residentMb());
-        for (int streams : new int[] {1, 100, 1_000}) {
-            List<FlightStream> open = new ArrayList<>();
+        for (int streamCount : new int[] {1, 100, 1_000}) {
+            List<FlightStream> openStreams = new ArrayList<>();
             List<FlightSqlClient> clients = new ArrayList<>();
-            double most = 0;
+            double peakMb = 0;
             int refused = 0;
-            for (int i = 0; i < streams; i++) {
+            for (int i = 0; i < streamCount; i++) {
                 if (i % 50 == 0) {
                     clients.add(connect(pooler.flightPort));
                 }
                 FlightSqlClient client = clients.get(clients.size() - 1);
                 try {
-                    open.add(client.getStream(client.execute(table(TABLE_MIB)).getEndpoints().get(0).getTicket()));
+                    openStreams.add(client.getStream(client.execute(tableQuery(TABLE_MIB)).getEndpoints().get(0).getTicket()));
                 } catch (FlightRuntimeException e) {
                     refused++;
                 }
-                most = Math.max(most, i % 20 == 0 ? pooler.residentMb() : 0);
+                peakMb = Math.max(peakMb, i % 20 == 0 ? pooler.residentMb() : 0);
             }
-            long by = System.nanoTime() + 3_000_000_000L;
-            while (System.nanoTime() < by) {
-                most = Math.max(most, pooler.residentMb());
+            long deadlineNs = System.nanoTime() + 3_000_000_000L;
+            while (System.nanoTime() < deadlineNs) {
+                peakMb = Math.max(peakMb, pooler.residentMb());
                 Thread.sleep(50);
             }
-            out.printf(", %.0f MB with %d open streams to slow readers%s", most, streams,
+            out.printf(", %.0f MB with %d open streams to slow readers%s", peakMb, streamCount,
                     refused > 0 ? " (" + refused + " refused)" : "");
-            for (FlightStream stream : open) {
+            for (FlightStream stream : openStreams) {
                 stream.cancel("enough", null);
                 stream.close();
             }
@@ -322,13 +324,13 @@
         out.println();
     }
 
-    private static String spread(double[] values) {
+    private static String medianAndQuartiles(double[] values) {
         return String.format("%.2f (%.2f to %.2f)", quantile(values, 0.5), quantile(values, 0.25), quantile(values, 0.75));
     }
 
-    private static double quantile(double[] values, double part) {
+    private static double quantile(double[] values, double fraction) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
-        return sorted[(int) Math.round(part * (sorted.length - 1))];
+        return sorted[(int) Math.round(fraction * (sorted.length - 1))];
     }
 }
--- a/app/src/main/java/holdmux/app/demo/Demo.java
+++ b/app/src/main/java/holdmux/app/demo/Demo.java
@@ -1,7 +1,7 @@
 package holdmux.app.demo;
 
 import holdmux.Pooler;
-import holdmux.app.demo.QuoteClient.Ending;
+import holdmux.app.demo.QuoteClient.Outcome;
 import holdmux.config.Config;
 import holdmux.core.Clock;
 import holdmux.core.Workers;
@@ -32,51 +32,51 @@
  * and a small load over both; at the end a table by front and class.
  */
 public final class Demo {
-    private static final int MEMORY_MB = 512, SOCKETS = 4_096, CLIENTS = 4;
-    private static final int PAUSE_MS = 5;
+    private static final int MEMORY_MB = 512, SOCKETS = 4_096, CLIENTS_PER_FRONT = 4;
+    private static final int THINK_TIME_MS = 5;
     /** Latencies up to a minute, to three digits. */
-    private static final long MOST_US = 60_000_000;
+    private static final long MAX_LATENCY_US = 60_000_000;
     /** Classes with how many of 100 requests are theirs, as in a quote service on a usual day. */
-    private static final Map<String, Integer> SHARES = new LinkedHashMap<>();
+    private static final Map<String, Integer> CLASS_PERCENTAGES = new LinkedHashMap<>();
 
     static {
-        SHARES.put("rate-lookup", 36);
-        SHARES.put("my-quotes", 29);
-        SHARES.put("history", 28);
-        SHARES.put("quote-check", 1);
-        SHARES.put("save-quote", 6);
+        CLASS_PERCENTAGES.put("rate-lookup", 36);
+        CLASS_PERCENTAGES.put("my-quotes", 29);
+        CLASS_PERCENTAGES.put("history", 28);
+        CLASS_PERCENTAGES.put("quote-check", 1);
+        CLASS_PERCENTAGES.put("save-quote", 6);
     }
 
-    private final Duration length;
+    private final Duration duration;
     private final boolean stay;
     private final PrintStream out;
 
     /** What came of one class over one front. */
-    private static final class Row {
-        private final Map<Ending, AtomicLong> endings = new EnumMap<>(Ending.class);
-        private final Histogram served = new ConcurrentHistogram(MOST_US, 3);
+    private static final class ClassStats {
+        private final Map<Outcome, AtomicLong> outcomes = new EnumMap<>(Outcome.class);
+        private final Histogram servedLatencyUs = new ConcurrentHistogram(MAX_LATENCY_US, 3);
 
-        Row() {
-            for (Ending ending : Ending.values()) {
-                endings.put(ending, new AtomicLong());
+        ClassStats() {
+            for (Outcome outcome : Outcome.values()) {
+                outcomes.put(outcome, new AtomicLong());
             }
         }
 
-        void add(Ending ending, long us) {
-            endings.get(ending).incrementAndGet();
-            if (ending == Ending.SERVED) {
-                served.recordValue(Math.min(us, MOST_US));
+        void add(Outcome outcome, long latencyUs) {
+            outcomes.get(outcome).incrementAndGet();
+            if (outcome == Outcome.SERVED) {
+                servedLatencyUs.recordValue(Math.min(latencyUs, MAX_LATENCY_US));
             }
         }
 
-        long asked() {
-            return endings.values().stream().mapToLong(AtomicLong::get).sum();
+        long requestCount() {
+            return outcomes.values().stream().mapToLong(AtomicLong::get).sum();
         }
     }
 
     /** {@code stay}: goes on serving after the load. */
-    public Demo(Duration length, boolean stay, PrintStream out) {
-        this.length = length;
+    public Demo(Duration duration, boolean stay, PrintStream out) {
+        this.duration = duration;
         this.stay = stay;
         this.out = out;
     }
@@ -96,15 +96,15 @@
                     + " facts WHERE code = '7f' /* id=1,c=history,d=1000,cluster=1 */\"");
             out.println("  jdbc:arrow-flight-sql://127.0.0.1:" + flightPort + "/?useEncryption=false&c=history&cluster=1   SELECT"
                     + " data FROM facts WHERE code = '7f'");
-            Map<String, Row> rows = new LinkedHashMap<>();
-            load(rows, pgPort, flightPort, allocator);
-            print(rows, standIns);
+            Map<String, ClassStats> stats = new LinkedHashMap<>();
+            runLoad(stats, pgPort, flightPort, allocator);
+            printTable(stats, standIns);
             if (stay) {
                 out.println("Serving until Ctrl-C.");
                 Thread.currentThread().join();
             }
             pooler.fronts().stopAccepting();
-            return rows.values().stream().allMatch(row -> row.asked() > 0)
+            return stats.values().stream().allMatch(classStats -> classStats.requestCount() > 0)
                     && standIns.group().runCounts().entrySet().stream()
                             .noneMatch(run -> run.getKey().startsWith("w") && run.getValue() > 1) ? 0 : 1;
         }
@@ -135,28 +135,28 @@
         }
     }
 
-    private void load(Map<String, Row> rows, int pgPort, int flightPort, BufferAllocator allocator) throws Exception {
-        long end = System.nanoTime() + length.toNanos();
+    private void runLoad(Map<String, ClassStats> stats, int pgPort, int flightPort, BufferAllocator allocator) throws Exception {
+        long endNs = System.nanoTime() + duration.toNanos();
         List<Thread> threads = new ArrayList<>();
         for (String front : List.of("PostgreSQL", "Flight SQL")) {
-            for (String type : SHARES.keySet()) {
-                rows.put(front + " " + type, new Row());
+            for (String requestClass : CLASS_PERCENTAGES.keySet()) {
+                stats.put(front + " " + requestClass, new ClassStats());
             }
-            for (int i = 0; i < CLIENTS; i++) {
+            for (int i = 0; i < CLIENTS_PER_FRONT; i++) {
                 Random random = new Random(i);
                 QuoteClient client = front.equals("PostgreSQL") ? new PgClient(pgPort)
                         : new FlightQuoteClient(flightPort, allocator);
-                Thread thread = new Thread(() -> ask(client, random, front, rows, end), "demo client");
+                Thread thread = new Thread(() -> runClient(client, random, front, stats, endNs), "demo client");
                 thread.start();
                 threads.add(thread);
             }
         }
         boolean terminal = System.console() != null;
-        while (System.nanoTime() < end) {
-            Thread.sleep(Math.max(1, Math.min(200, (end - System.nanoTime()) / 1_000_000)));
+        while (System.nanoTime() < endNs) {
+            Thread.sleep(Math.max(1, Math.min(200, (endNs - System.nanoTime()) / 1_000_000)));
             if (terminal) {
-                out.printf("\r%5.1f s to go, %d asked ", Math.max(0, (end - System.nanoTime()) / 1e9),
-                        rows.values().stream().mapToLong(Row::asked).sum());
+                out.printf("\r%5.1f s to go, %d asked ", Math.max(0, (endNs - System.nanoTime()) / 1e9),
+                        stats.values().stream().mapToLong(ClassStats::requestCount).sum());
                 out.flush();
             }
         }
@@ -168,28 +168,28 @@
         }
     }
 
-    private static void ask(QuoteClient client, Random random, String front, Map<String, Row> rows, long end) {
+    private static void runClient(QuoteClient client, Random random, String front, Map<String, ClassStats> stats, long endNs) {
         try (client) {
-            while (System.nanoTime() < end) {
+            while (System.nanoTime() < endNs) {
                 int draw = random.nextInt(100);
-                String type = "history";
-                for (Map.Entry<String, Integer> share : SHARES.entrySet()) {
+                String requestClass = "history";
+                for (Map.Entry<String, Integer> share : CLASS_PERCENTAGES.entrySet()) {
                     draw -= share.getValue();
                     if (draw < 0) {
-                        type = share.getKey();
+                        requestClass = share.getKey();
                         break;
                     }
                 }
-                boolean write = type.equals("save-quote");
-                String figures = "/* id=" + (write ? "w" : "r") + UUID.randomUUID().toString().replace("-", "") + ",c=" + type
-                        + ",d=1000,cluster=1 */";
+                boolean write = requestClass.equals("save-quote");
+                String requestComment = "/* id=" + (write ? "w" : "r") + UUID.randomUUID().toString().replace("-", "")
+                        + ",c=" + requestClass + ",d=1000,cluster=1 */";
                 String key = "k" + random.nextInt(50);
-                String sql = write ? "INSERT INTO facts (code, data) VALUES ('" + key + "', '\\x9f03') RETURNING data " + figures
-                        : "SELECT data FROM facts WHERE code = '" + key + "' " + figures;
-                long from = System.nanoTime();
-                Ending ending = client.ask(sql);
-                rows.get(front + " " + type).add(ending, (System.nanoTime() - from) / 1_000);
-                Thread.sleep(PAUSE_MS);
+                String sql = write ? "INSERT INTO facts (code, data) VALUES ('" + key + "', '\\x9f03') RETURNING data " + requestComment
+                        : "SELECT data FROM facts WHERE code = '" + key + "' " + requestComment;
+                long startNs = System.nanoTime();
+                Outcome outcome = client.execute(sql);
+                stats.get(front + " " + requestClass).add(outcome, (System.nanoTime() - startNs) / 1_000);
+                Thread.sleep(THINK_TIME_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -198,15 +198,15 @@
         }
     }
 
-    private void print(Map<String, Row> rows, StandIns standIns) {
+    private void printTable(Map<String, ClassStats> stats, StandIns standIns) {
         out.printf("%-24s %8s %8s %8s %8s %9s %9s%n", "front and class", "asked", "served", "refused", "failed", "p50 ms",
                 "p99 ms");
-        rows.forEach((name, row) -> out.printf("%-24s %8d %8d %8d %8d %9.2f %9.2f%n", name, row.asked(),
-                row.endings.get(Ending.SERVED).get(), row.endings.get(Ending.REFUSED).get(),
-                row.endings.get(Ending.FAILED).get(), row.served.getValueAtPercentile(50) / 1e3,
-                row.served.getValueAtPercentile(99) / 1e3));
-        long twice = standIns.group().runCounts().entrySet().stream()
+        stats.forEach((name, classStats) -> out.printf("%-24s %8d %8d %8d %8d %9.2f %9.2f%n", name, classStats.requestCount(),
+                classStats.outcomes.get(Outcome.SERVED).get(), classStats.outcomes.get(Outcome.REFUSED).get(),
+                classStats.outcomes.get(Outcome.FAILED).get(), classStats.servedLatencyUs.getValueAtPercentile(50) / 1e3,
+                classStats.servedLatencyUs.getValueAtPercentile(99) / 1e3));
+        long repeatedWrites = standIns.group().runCounts().entrySet().stream()
                 .filter(run -> run.getKey().startsWith("w") && run.getValue() > 1).count();
-        out.println("Writes that ran more than once: " + twice);
+        out.println("Writes that ran more than once: " + repeatedWrites);
     }
 }
--- a/app/src/main/java/holdmux/app/demo/FlightQuoteClient.java
+++ b/app/src/main/java/holdmux/app/demo/FlightQuoteClient.java
@@ -19,20 +19,20 @@
     }
 
     @Override
-    public Ending ask(String sql) {
+    public Outcome execute(String sql) {
         try {
             FlightInfo info = client.execute(sql);
-            try (FlightStream table = client.getStream(info.getEndpoints().get(0).getTicket())) {
-                while (table.next()) {
+            try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket())) {
+                while (stream.next()) {
                     // batch by batch
                 }
             }
-            return Ending.SERVED;
+            return Outcome.SERVED;
         } catch (FlightRuntimeException e) {
             FlightStatusCode code = e.status().code();
-            return code == FlightStatusCode.RESOURCE_EXHAUSTED ? Ending.REFUSED : Ending.FAILED;
+            return code == FlightStatusCode.RESOURCE_EXHAUSTED ? Outcome.REFUSED : Outcome.FAILED;
         } catch (Exception e) {
-            return Ending.FAILED;
+            return Outcome.FAILED;
         }
     }
 
--- a/app/src/main/java/holdmux/app/demo/PgClient.java
+++ b/app/src/main/java/holdmux/app/demo/PgClient.java
@@ -14,7 +14,7 @@
 /** A client of the PostgreSQL front, as much of one as the demo and the drill need: one simple query at a time. */
 public final class PgClient implements QuoteClient {
     /** The name of a row's only column. */
-    public static final String VALUE = "data";
+    public static final String VALUE_COLUMN = "data";
 
     private final Socket socket = new Socket();
     private final DataInputStream in;
@@ -25,19 +25,19 @@
     }
 
     /** {@code timeOutMs}: how long a connect or a part of an answer may take; 0 for ever. */
-    public PgClient(int port, int timeOutMs) throws IOException {
+    public PgClient(int port, int timeoutMs) throws IOException {
         try {
-            socket.connect(new InetSocketAddress("127.0.0.1", port), timeOutMs);
-            socket.setSoTimeout(timeOutMs);
+            socket.connect(new InetSocketAddress("127.0.0.1", port), timeoutMs);
+            socket.setSoTimeout(timeoutMs);
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
             out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
-            byte[] names = "user\0demo\0database\0crm\0\0".getBytes(StandardCharsets.US_ASCII);
-            out.writeInt(8 + names.length);
+            byte[] startupParameters = "user\0demo\0database\0crm\0\0".getBytes(StandardCharsets.US_ASCII);
+            out.writeInt(8 + startupParameters.length);
             out.writeInt(196_608); // protocol 3.0
-            out.write(names);
+            out.write(startupParameters);
             out.flush();
-            answer(new HashMap<>());
+            readResponse(new HashMap<>());
         } catch (IOException e) {
             socket.close();
             throw e;
@@ -45,23 +45,23 @@
     }
 
     @Override
-    public Ending ask(String sql) {
+    public Outcome execute(String sql) {
         try {
             String sqlState = query(sql, new HashMap<>());
-            return sqlState.isEmpty() ? Ending.SERVED
-                    : sqlState.equals("53300") || sqlState.equals("57P03") ? Ending.REFUSED : Ending.FAILED;
+            return sqlState.isEmpty() ? Outcome.SERVED
+                    : sqlState.equals("53300") || sqlState.equals("57P03") ? Outcome.REFUSED : Outcome.FAILED;
         } catch (IOException e) {
-            return Ending.FAILED;
+            return Outcome.FAILED;
         }
     }
 
     /**
      * Asks; the SQLSTATE of an error or "", and into {@code rows} rows of two texts, as SHOW STATS gives, or one of one
-     * under the name {@link #VALUE}.
+     * under the name {@link #VALUE_COLUMN}.
      */
     public String query(String sql, Map<String, String> rows) throws IOException {
         send(sql);
-        return answer(rows);
+        return readResponse(rows);
     }
 
     /** Asks, and does not wait for the answer. */
@@ -74,25 +74,25 @@
         out.flush();
     }
 
-    private String answer(Map<String, String> rows) throws IOException {
+    private String readResponse(Map<String, String> rows) throws IOException {
         String sqlState = "";
         while (true) {
             int type = in.readUnsignedByte();
             ByteBuffer body = ByteBuffer.wrap(in.readNBytes(in.readInt() - Integer.BYTES));
             if (type == 'E') {
                 String fields = StandardCharsets.UTF_8.decode(body).toString();
-                int at = fields.indexOf("\0C");
-                sqlState = fields.substring(at + 2, fields.indexOf('\0', at + 2));
+                int codeField = fields.indexOf("\0C");
+                sqlState = fields.substring(codeField + 2, fields.indexOf('\0', codeField + 2));
             } else if (type == 'D') {
-                boolean pair = body.getShort() == 2;
-                rows.put(pair ? text(body) : VALUE, text(body));
+                boolean twoColumns = body.getShort() == 2;
+                rows.put(twoColumns ? readText(body) : VALUE_COLUMN, readText(body));
             } else if (type == 'Z') {
                 return sqlState;
             }
         }
     }
 
-    private static String text(ByteBuffer row) {
+    private static String readText(ByteBuffer row) {
         byte[] text = new byte[row.getInt()];
         row.get(text);
         return new String(text, StandardCharsets.UTF_8);
--- a/app/src/main/java/holdmux/app/demo/QuoteClient.java
+++ b/app/src/main/java/holdmux/app/demo/QuoteClient.java
@@ -3,8 +3,8 @@
 /** One connection of the demo's load, over either front. */
 public interface QuoteClient extends AutoCloseable {
     /** How a request ended for its client. */
-    enum Ending { SERVED, REFUSED, FAILED }
+    enum Outcome { SERVED, REFUSED, FAILED }
 
     /** Asks, and waits for the one final answer. */
-    Ending ask(String sql);
+    Outcome execute(String sql);
 }
--- a/app/src/main/java/holdmux/app/drill/Audit.java
+++ b/app/src/main/java/holdmux/app/drill/Audit.java
@@ -12,61 +12,61 @@
  */
 final class Audit {
     /** One look at one pooler: what it said between these two moments. */
-    record Look(String pooler, long beganMs, long endedMs, long version, boolean closed) {}
+    record Observation(String pooler, long startMs, long endMs, long version, boolean closed) {}
 
     /** One activation: asked for, and surely in the log, at the latest, at these moments. */
     private record Change(long version, long askedMs, long doneMs, long delayMs) {}
 
     /** What was seen longer ago says nothing of now: the pooler may be down. */
-    private static final long FRESH_MS = 500;
+    private static final long MAX_OBSERVATION_AGE_MS = 500;
 
     private final long boundMs;
     private final List<Change> changes = new ArrayList<>();
-    private final List<Look> looks = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<Observation> observations = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
     Audit(long boundMs) {
         this.boundMs = boundMs;
     }
 
     /** Version 0 stands for none: nobody is to serve under it. */
-    void changed(long version, long askedMs, long doneMs, long delayMs) {
+    void recordActivation(long version, long askedMs, long doneMs, long delayMs) {
         changes.add(new Change(version, askedMs, doneMs, delayMs));
     }
 
-    void looked(Look look) {
-        looks.add(look);
+    void recordObservation(Observation observation) {
+        observations.add(observation);
     }
 
-    void broken(String words) {
-        broken.add(words);
+    void recordViolation(String violation) {
+        violations.add(violation);
     }
 
-    int looks() {
-        return looks.size();
+    int observationCount() {
+        return observations.size();
     }
 
     /** All that was wrong, in words; judged once every change of which the outcome was unknown has been told. */
-    List<String> verdict() {
-        List<String> all = new ArrayList<>(broken);
-        for (Look look : looks) {
-            if (!look.closed() && !allowed(look)) {
-                all.add(look.pooler() + " served under version " + look.version() + " at " + look.beganMs() + " to "
-                        + look.endedMs() + " ms; changes were " + changes);
+    List<String> findViolations() {
+        List<String> found = new ArrayList<>(violations);
+        for (Observation observation : observations) {
+            if (!observation.closed() && !isAllowed(observation)) {
+                found.add(observation.pooler() + " served under version " + observation.version() + " at " + observation.startMs() + " to "
+                        + observation.endMs() + " ms; changes were " + changes);
             }
         }
-        return all;
+        return found;
     }
 
     /** Whether the look's version was in force at some moment that the rules let it be served from. */
-    private boolean allowed(Look look) {
+    private boolean isAllowed(Observation observation) {
         for (int i = 0; i < changes.size(); i++) {
             Change change = changes.get(i);
-            boolean begun = change.askedMs() <= look.endedMs();
+            boolean started = change.askedMs() <= observation.endMs();
             // the next change counts from when it was surely in the log
-            boolean over = i + 1 < changes.size()
-                    && look.beganMs() > changes.get(i + 1).doneMs() + boundMs + changes.get(i + 1).delayMs();
-            if (change.version() == look.version() && begun && !over) {
+            boolean superseded = i + 1 < changes.size()
+                    && observation.startMs() > changes.get(i + 1).doneMs() + boundMs + changes.get(i + 1).delayMs();
+            if (change.version() == observation.version() && started && !superseded) {
                 return true;
             }
         }
@@ -74,18 +74,18 @@
     }
 
     /** The longest that two poolers were seen to serve different versions at once, in milliseconds. */
-    long longestMixed() {
-        TreeMap<Long, List<Look>> byTime = new TreeMap<>();
-        looks.forEach(look -> byTime.computeIfAbsent(look.endedMs(), t -> new ArrayList<>()).add(look));
-        Map<String, Look> last = new TreeMap<>();
-        long since = -1;
+    long longestMixedMs() {
+        TreeMap<Long, List<Observation>> byTime = new TreeMap<>();
+        observations.forEach(observation -> byTime.computeIfAbsent(observation.endMs(), t -> new ArrayList<>()).add(observation));
+        Map<String, Observation> latest = new TreeMap<>();
+        long mixedSince = -1;
         long longest = 0;
-        for (Map.Entry<Long, List<Look>> at : byTime.entrySet()) {
-            at.getValue().forEach(look -> last.put(look.pooler(), look));
-            long versions = last.values().stream().filter(l -> !l.closed() && at.getKey() - l.endedMs() <= FRESH_MS)
-                    .mapToLong(Look::version).distinct().count();
-            longest = since < 0 ? longest : Math.max(longest, at.getKey() - since);
-            since = versions <= 1 ? -1 : since < 0 ? at.getKey() : since;
+        for (Map.Entry<Long, List<Observation>> entry : byTime.entrySet()) {
+            entry.getValue().forEach(observation -> latest.put(observation.pooler(), observation));
+            long versions = latest.values().stream().filter(l -> !l.closed() && entry.getKey() - l.endMs() <= MAX_OBSERVATION_AGE_MS)
+                    .mapToLong(Observation::version).distinct().count();
+            longest = mixedSince < 0 ? longest : Math.max(longest, entry.getKey() - mixedSince);
+            mixedSince = versions <= 1 ? -1 : mixedSince < 0 ? entry.getKey() : mixedSince;
         }
         return longest;
     }
--- a/app/src/main/java/holdmux/app/drill/PolicyDrill.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyDrill.java
@@ -28,10 +28,10 @@
  */
 public final class PolicyDrill implements AutoCloseable {
     private static final long BOUND_MS = 5_000, DELAY_MS = 300;
-    private static final int LOOK_MS = 40, LOAD_MS = 10, PAUSE_LEAST_MS = 200, PAUSE_MOST_MS = 2_500;
+    private static final int OBSERVE_INTERVAL_MS = 40, REQUEST_INTERVAL_MS = 10, MIN_PAUSE_MS = 200, MAX_PAUSE_MS = 2_500;
 
     /** What a round does while a change is made. */
-    enum Trouble {
+    enum Scenario {
         NONE, MEMBER_KILLED, TWO_MEMBERS_DOWN, LEADER_ON_SMALL_SIDE, POOLER_STOPPED, RESTART_WAVE, FOLLOWER_CUT, HALF_OPEN,
         RESETS, SLOW, TWO_OPERATORS, KILLED_BETWEEN_COMMIT_AND_ACTIVATION, MAJORITY_LOST, INVALID
     }
@@ -39,14 +39,14 @@
     private final PrintStream out;
     private final PolicyFleet fleet;
     private final Audit audit = new Audit(BOUND_MS);
-    private final ConcurrentLinkedQueue<Audit.Look> looks = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger requests = new AtomicInteger(), served = new AtomicInteger();
-    private final Set<String> stopped = ConcurrentHashMap.newKeySet();
-    private volatile boolean over;
-    private boolean sound;
+    private final ConcurrentLinkedQueue<Audit.Observation> observations = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger requestCount = new AtomicInteger(), servedCount = new AtomicInteger();
+    private final Set<String> stoppedPoolers = ConcurrentHashMap.newKeySet();
+    private volatile boolean finished;
+    private boolean passed;
     /** An activation of which nobody told the outcome, 0 for none, and when it was asked for. */
-    private long unknown, unknownAsked;
+    private long unconfirmedVersion, unconfirmedSinceMs;
 
     /** {@code members}: 3 or 5 poolers that are members of the store; {@code followers}: at least one that only follows. */
     public PolicyDrill(int members, int followers, PrintStream out) throws Exception {
@@ -56,147 +56,147 @@
 
     /** Plays rounds of this seed; the exit code: 0 where no rule was broken. */
     public int run(int rounds, long seed) throws Exception {
-        long start = nowMs();
+        long startMs = nowMs();
         fleet.startAll();
-        change(true);
-        agree("the start");
+        changePolicy(true);
+        awaitAgreement("the start");
         List<Thread> watchers = new ArrayList<>();
         fleet.poolers.values().forEach(pooler -> {
-            watchers.add(thread("look " + pooler.name, () -> look(pooler)));
-            watchers.add(thread("load " + pooler.name, () -> load(pooler)));
+            watchers.add(startThread("look " + pooler.name, () -> observe(pooler)));
+            watchers.add(startThread("load " + pooler.name, () -> sendRequests(pooler)));
         });
         Random random = new Random(seed);
-        List<Trouble> deck = new ArrayList<>();
+        List<Scenario> remainingScenarios = new ArrayList<>();
         for (int round = 1; round <= rounds; round++) {
-            if (deck.isEmpty()) {
-                deck.addAll(List.of(Trouble.values()));
-                Collections.shuffle(deck, random);
+            if (remainingScenarios.isEmpty()) {
+                remainingScenarios.addAll(List.of(Scenario.values()));
+                Collections.shuffle(remainingScenarios, random);
             }
-            Trouble trouble = deck.remove(deck.size() - 1);
-            long began = nowMs();
-            round(trouble, random);
+            Scenario scenario = remainingScenarios.remove(remainingScenarios.size() - 1);
+            long roundStartMs = nowMs();
+            playRound(scenario, random);
             fleet.heal();
-            agree("round " + round + " " + trouble);
-            out.printf("round %d %s: agreed after %d ms%n", round, trouble, nowMs() - began);
+            awaitAgreement("round " + round + " " + scenario);
+            out.printf("round %d %s: agreed after %d ms%n", round, scenario, nowMs() - roundStartMs);
         }
-        over = true;
+        finished = true;
         for (Thread watcher : watchers) {
             watcher.join();
         }
-        return judge(rounds, nowMs() - start);
+        return reportResult(rounds, nowMs() - startMs);
     }
 
-    private int judge(int rounds, long tookMs) {
-        looks.forEach(audit::looked);
-        broken.forEach(audit::broken);
+    private int reportResult(int rounds, long elapsedMs) {
+        observations.forEach(audit::recordObservation);
+        violations.forEach(audit::recordViolation);
         fleet.standIns.group().runCounts().forEach((id, runs) -> {
             if (id.startsWith("w") && runs > 1) {
-                audit.broken("the write " + id + " ran " + runs + " times");
+                audit.recordViolation("the write " + id + " ran " + runs + " times");
             }
         });
-        List<String> verdict = audit.verdict();
+        List<String> found = audit.findViolations();
         out.printf("%d rounds in %d s: %d looks, %d requests, %d served; two versions at once for %d ms at most%n", rounds,
-                tookMs / 1_000, audit.looks(), requests.get(), served.get(), audit.longestMixed());
-        verdict.stream().limit(20).forEach(words -> out.println("BROKEN: " + words));
-        out.println(verdict.isEmpty() ? "no rule broken" : verdict.size() + " broken");
-        sound = verdict.isEmpty();
-        return sound ? 0 : 1;
+                elapsedMs / 1_000, audit.observationCount(), requestCount.get(), servedCount.get(), audit.longestMixedMs());
+        found.stream().limit(20).forEach(violation -> out.println("BROKEN: " + violation));
+        out.println(found.isEmpty() ? "no rule broken" : found.size() + " broken");
+        passed = found.isEmpty();
+        return passed ? 0 : 1;
     }
 
     // ---- A round ----
 
-    private void round(Trouble trouble, Random random) throws Exception {
-        List<String> all = new ArrayList<>(fleet.poolers.keySet());
-        Collections.shuffle(all, random);
-        List<String> voters = all.stream().filter(fleet::votes).toList();
-        String follower = all.stream().filter(p -> !fleet.votes(p)).findFirst().orElseThrow();
-        int pause = PAUSE_LEAST_MS + random.nextInt(PAUSE_MOST_MS - PAUSE_LEAST_MS);
-        switch (trouble) {
-            case NONE -> change(true);
+    private void playRound(Scenario scenario, Random random) throws Exception {
+        List<String> shuffled = new ArrayList<>(fleet.poolers.keySet());
+        Collections.shuffle(shuffled, random);
+        List<String> voters = shuffled.stream().filter(fleet::isVoter).toList();
+        String follower = shuffled.stream().filter(p -> !fleet.isVoter(p)).findFirst().orElseThrow();
+        int pauseMs = MIN_PAUSE_MS + random.nextInt(MAX_PAUSE_MS - MIN_PAUSE_MS);
+        switch (scenario) {
+            case NONE -> changePolicy(true);
             case MEMBER_KILLED -> {
-                Thread killer = thread("killer", () -> fleet.poolers.get(voters.get(0)).kill());
-                change(false);
+                Thread killer = startThread("killer", () -> fleet.poolers.get(voters.get(0)).kill());
+                changePolicy(false);
                 killer.join();
             }
             case TWO_MEMBERS_DOWN -> {
                 fleet.poolers.get(voters.get(0)).kill();
                 fleet.poolers.get(voters.get(voters.size() / 2 - 1)).kill(); // the same one again among three
-                change(true);
+                changePolicy(true);
             }
             case LEADER_ON_SMALL_SIDE -> {
                 String leader = fleet.leader();
-                List<String> small = new ArrayList<>(List.of(leader, follower));
-                voters.stream().filter(v -> !v.equals(leader)).limit(voters.size() / 2 - 1).forEach(small::add);
-                fleet.split(small);
-                Thread.sleep(pause);
-                change(false);
+                List<String> minority = new ArrayList<>(List.of(leader, follower));
+                voters.stream().filter(v -> !v.equals(leader)).limit(voters.size() / 2 - 1).forEach(minority::add);
+                fleet.partition(minority);
+                Thread.sleep(pauseMs);
+                changePolicy(false);
             }
             case POOLER_STOPPED -> {
                 for (String name : List.of(voters.get(0), follower)) {
-                    stopped.add(name);
+                    stoppedPoolers.add(name);
                     fleet.poolers.get(name).signal("STOP");
                 }
-                change(true);
-                Thread.sleep(BOUND_MS + pause);
+                changePolicy(true);
+                Thread.sleep(BOUND_MS + pauseMs);
                 for (String name : List.of(voters.get(0), follower)) {
                     fleet.poolers.get(name).signal("CONT");
-                    stopped.remove(name);
+                    stoppedPoolers.remove(name);
                 }
             }
             case RESTART_WAVE -> {
-                Thread wave = thread("wave", () -> {
-                    for (String name : all.subList(0, all.size() / 2)) {
+                Thread restarts = startThread("wave", () -> {
+                    for (String name : shuffled.subList(0, shuffled.size() / 2)) {
                         fleet.poolers.get(name).kill();
                         restart(name);
                     }
                 });
-                change(false);
-                wave.join();
+                changePolicy(false);
+                restarts.join();
             }
             case FOLLOWER_CUT -> {
-                fleet.waysOf(follower, Mode.SILENT);
-                change(true);
-                Thread.sleep(BOUND_MS + pause);
+                fleet.setRelayMode(follower, Mode.SILENT);
+                changePolicy(true);
+                Thread.sleep(BOUND_MS + pauseMs);
             }
             case HALF_OPEN -> {
-                fleet.waysOf(voters.get(0), Mode.HALF_OPEN);
-                fleet.waysOf(follower, Mode.HALF_OPEN);
-                change(false);
-                Thread.sleep(pause);
+                fleet.setRelayMode(voters.get(0), Mode.HALF_OPEN);
+                fleet.setRelayMode(follower, Mode.HALF_OPEN);
+                changePolicy(false);
+                Thread.sleep(pauseMs);
             }
             case RESETS -> {
-                for (int i = 0; i < all.size() / 2; i++) {
-                    fleet.waysOf(all.get(i), Mode.RESET);
+                for (int i = 0; i < shuffled.size() / 2; i++) {
+                    fleet.setRelayMode(shuffled.get(i), Mode.RESET);
                 }
-                change(false);
-                Thread.sleep(pause);
+                changePolicy(false);
+                Thread.sleep(pauseMs);
             }
             case SLOW -> {
-                all.forEach(pooler -> fleet.waysOf(pooler, Mode.SLOW));
-                change(false);
+                shuffled.forEach(pooler -> fleet.setRelayMode(pooler, Mode.SLOW));
+                changePolicy(false);
             }
-            case TWO_OPERATORS -> twoOperators();
+            case TWO_OPERATORS -> proposeConcurrently();
             case KILLED_BETWEEN_COMMIT_AND_ACTIVATION -> {
                 long number = fleet.propose();
                 fleet.poolers.get(voters.get(0)).kill();
                 fleet.poolers.get(follower).kill();
                 restart(follower);
-                Thread.sleep(pause);
+                Thread.sleep(pauseMs);
                 activate(number, true);
             }
             case MAJORITY_LOST -> {
                 voters.subList(0, voters.size() / 2 + 1).forEach(name -> fleet.poolers.get(name).kill());
-                Thread.sleep(pause);
-                change(false);
+                Thread.sleep(pauseMs);
+                changePolicy(false);
             }
             case INVALID -> {
                 long newest = fleet.history().newestNumber();
-                EntryResult verdict = fleet.store.write(new Propose(PolicyVersion.of(newest + 1, newest, "{\"settings\":{}}", "drill")));
-                if (verdict.accepted()) {
-                    broken.add("an invalid version was kept");
+                EntryResult result = fleet.store.write(new Propose(PolicyVersion.of(newest + 1, newest, "{\"settings\":{}}", "drill")));
+                if (result.accepted()) {
+                    violations.add("an invalid version was kept");
                 }
             }
-            default -> throw new IllegalStateException("no round for " + trouble);
+            default -> throw new IllegalStateException("no round for " + scenario);
         }
     }
 
@@ -206,100 +206,100 @@
         try {
             fleet.poolers.get(name).start();
         } catch (IOException e) {
-            broken.add(name + " does not start: " + e.getMessage());
+            violations.add(name + " does not start: " + e.getMessage());
         }
     }
 
     /** Proposes and activates a new version; {@code must}: whether the round leaves the store able to. */
-    private void change(boolean must) throws InterruptedException {
+    private void changePolicy(boolean mustSucceed) throws InterruptedException {
         try {
-            activate(fleet.propose(), must);
+            activate(fleet.propose(), mustSucceed);
         } catch (IOException e) {
-            if (must) {
-                broken.add("a majority is up, but a proposal failed: " + e.getMessage());
+            if (mustSucceed) {
+                violations.add("a majority is up, but a proposal failed: " + e.getMessage());
             }
         }
     }
 
-    private void activate(long number, boolean must) throws InterruptedException {
-        long asked = nowMs();
-        String last = "";
-        for (long by = asked + PolicyFleet.AGREE_MS / 3; nowMs() < by; Thread.sleep(100)) {
+    private void activate(long number, boolean mustSucceed) throws InterruptedException {
+        long requestedMs = nowMs();
+        String lastError = "";
+        for (long deadlineMs = requestedMs + PolicyFleet.AGREEMENT_TIMEOUT_MS / 3; nowMs() < deadlineMs; Thread.sleep(100)) {
             try {
-                EntryResult verdict = fleet.activate(number, DELAY_MS);
-                if (verdict.accepted()) {
-                    audit.changed(number, asked, nowMs(), DELAY_MS);
+                EntryResult result = fleet.activate(number, DELAY_MS);
+                if (result.accepted()) {
+                    audit.recordActivation(number, requestedMs, nowMs(), DELAY_MS);
                     return;
                 }
-                last = verdict.reason();
+                lastError = result.reason();
             } catch (IOException e) {
-                last = e.getMessage();
+                lastError = e.getMessage();
             }
-            if (!must) {
-                unknown = number; // found out once the faults are gone
-                unknownAsked = asked;
+            if (!mustSucceed) {
+                unconfirmedVersion = number; // found out once the faults are gone
+                unconfirmedSinceMs = requestedMs;
                 return;
             }
         }
-        broken.add("version " + number + " could not be put in force: " + last);
+        violations.add("version " + number + " could not be put in force: " + lastError);
     }
 
-    private void twoOperators() throws Exception {
+    private void proposeConcurrently() throws Exception {
         long newest = fleet.history().newestNumber();
-        List<EntryResult> verdicts = Collections.synchronizedList(new ArrayList<>());
-        List<Thread> both = new ArrayList<>();
-        for (String by : List.of("ana", "bob")) {
-            String text = fleet.text();
-            both.add(thread(by, () -> {
-                try (StoreClient own = new StoreClient(fleet.members, 1_000)) {
-                    verdicts.add(own.write(new Propose(PolicyVersion.of(newest + 1, newest, text, by))));
+        List<EntryResult> results = Collections.synchronizedList(new ArrayList<>());
+        List<Thread> operators = new ArrayList<>();
+        for (String author : List.of("ana", "bob")) {
+            String text = fleet.newPolicyText();
+            operators.add(startThread(author, () -> {
+                try (StoreClient client = new StoreClient(fleet.members, 1_000)) {
+                    results.add(client.write(new Propose(PolicyVersion.of(newest + 1, newest, text, author))));
                 } catch (IOException e) {
-                    broken.add("no faults, but a proposal failed: " + e.getMessage());
+                    violations.add("no faults, but a proposal failed: " + e.getMessage());
                 }
             }));
         }
-        for (Thread one : both) {
-            one.join();
+        for (Thread operator : operators) {
+            operator.join();
         }
-        if (verdicts.stream().filter(EntryResult::accepted).count() != 1) {
-            broken.add("of two proposals at once these were told: " + verdicts);
+        if (results.stream().filter(EntryResult::accepted).count() != 1) {
+            violations.add("of two proposals at once these were told: " + results);
         }
         activate(newest + 1, true);
     }
 
-    private void agree(String after) throws InterruptedException {
-        String missing = fleet.awaitAgreement();
-        if (!missing.isEmpty()) {
-            String words = "after " + after + " the fleet did not agree: " + missing;
-            out.println(words);
-            broken.add(words);
-        } else if (unknown != 0) {
+    private void awaitAgreement(String step) throws InterruptedException {
+        String disagreement = fleet.awaitAgreement();
+        if (!disagreement.isEmpty()) {
+            String violation = "after " + step + " the fleet did not agree: " + disagreement;
+            out.println(violation);
+            violations.add(violation);
+        } else if (unconfirmedVersion != 0) {
             try {
-                if (fleet.history().activations().stream().anyMatch(a -> a.number() == unknown)) {
-                    audit.changed(unknown, unknownAsked, nowMs(), DELAY_MS);
+                if (fleet.history().activations().stream().anyMatch(a -> a.number() == unconfirmedVersion)) {
+                    audit.recordActivation(unconfirmedVersion, unconfirmedSinceMs, nowMs(), DELAY_MS);
                 }
             } catch (IOException e) {
-                broken.add("the fleet agreed, but its history cannot be read: " + e.getMessage());
+                violations.add("the fleet agreed, but its history cannot be read: " + e.getMessage());
             }
         }
-        unknown = 0;
+        unconfirmedVersion = 0;
     }
 
     // ---- Watching ----
 
-    private void look(PoolerProcess pooler) {
-        while (!over) {
-            try (PgClient talk = pooler.talk()) {
-                while (!over) {
+    private void observe(PoolerProcess pooler) {
+        while (!finished) {
+            try (PgClient client = pooler.connect()) {
+                while (!finished) {
                     Map<String, String> stats = new HashMap<>();
-                    long began = nowMs();
-                    talk.query("SHOW STATS", stats);
-                    looks.add(new Audit.Look(pooler.name, began, nowMs(), Long.parseLong(stats.get("policy_version")),
+                    long queryStartMs = nowMs();
+                    client.query("SHOW STATS", stats);
+                    observations.add(new Audit.Observation(pooler.name, queryStartMs, nowMs(), Long.parseLong(stats.get("policy_version")),
                             stats.get("policy_state").equals("closed")));
-                    Thread.sleep(LOOK_MS);
+                    Thread.sleep(OBSERVE_INTERVAL_MS);
                 }
             } catch (IOException e) {
-                pause(LOOK_MS); // killed or stopped
+                sleep(OBSERVE_INTERVAL_MS); // killed or stopped
             } catch (InterruptedException e) {
                 return;
             }
@@ -307,37 +307,37 @@
     }
 
     /** Reads and writes; the one rule that needs a watch here: a value that comes is the one of this request. */
-    private void load(PoolerProcess pooler) {
-        long number = 0;
-        while (!over) {
-            try (PgClient talk = new PgClient(pooler.port, 3_000)) {
-                while (!over) {
-                    String id = pooler.name + "x" + ++number;
-                    requests.incrementAndGet();
-                    String state = talk.query(number % 5 == 0
+    private void sendRequests(PoolerProcess pooler) {
+        long sequence = 0;
+        while (!finished) {
+            try (PgClient client = new PgClient(pooler.port, 3_000)) {
+                while (!finished) {
+                    String id = pooler.name + "x" + ++sequence;
+                    requestCount.incrementAndGet();
+                    String sqlState = client.query(sequence % 5 == 0
                             ? "INSERT INTO facts (code, data) VALUES ('k" + pooler.name + "', '\\x9f') RETURNING data /* id=w"
                                     + id + ",c=save-quote,d=2000,cluster=1 */"
                             : "SELECT data FROM facts WHERE code = 'k1' /* id=r" + id + ",c=rate-lookup,d=1000,cluster=1 */",
                             new HashMap<>());
-                    if (state.isEmpty()) {
-                        served.incrementAndGet();
-                    } else if (!state.equals("57P03") && !state.equals("53300") && !state.equals("08007")) {
-                        broken.add(pooler.name + " told " + id + " " + state);
+                    if (sqlState.isEmpty()) {
+                        servedCount.incrementAndGet();
+                    } else if (!sqlState.equals("57P03") && !sqlState.equals("53300") && !sqlState.equals("08007")) {
+                        violations.add(pooler.name + " told " + id + " " + sqlState);
                     }
-                    Thread.sleep(LOAD_MS);
+                    Thread.sleep(REQUEST_INTERVAL_MS);
                 }
             } catch (IOException e) {
-                if (!stopped.contains(pooler.name) && pooler.isAlive() && e instanceof SocketTimeoutException) {
-                    broken.add(pooler.name + " gave no answer in 3 s");
+                if (!stoppedPoolers.contains(pooler.name) && pooler.isAlive() && e instanceof SocketTimeoutException) {
+                    violations.add(pooler.name + " gave no answer in 3 s");
                 }
-                pause(LOOK_MS);
+                sleep(OBSERVE_INTERVAL_MS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private static void pause(long ms) {
+    private static void sleep(long ms) {
         try {
             Thread.sleep(ms);
         } catch (InterruptedException e) {
@@ -345,8 +345,8 @@
         }
     }
 
-    private static Thread thread(String name, Runnable work) {
-        Thread thread = new Thread(work, name);
+    private static Thread startThread(String name, Runnable task) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -359,10 +359,10 @@
     /** Ends all processes; their logs stay where a rule was broken. */
     @Override
     public void close() throws Exception {
-        over = true;
+        finished = true;
         fleet.close();
-        if (sound) {
-            fleet.forget();
+        if (passed) {
+            fleet.deleteFiles();
         } else {
             out.println("logs and stores are kept in " + fleet.folder());
         }
--- a/app/src/main/java/holdmux/app/drill/PolicyFleet.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyFleet.java
@@ -32,19 +32,19 @@
  */
 public final class PolicyFleet implements AutoCloseable {
     /** An election, a start on a busy machine: how long the fleet may take to agree. */
-    static final long AGREE_MS = 60_000;
-    private static final int CALL_MS = 1_000;
+    static final long AGREEMENT_TIMEOUT_MS = 60_000;
+    private static final int CALL_TIMEOUT_MS = 1_000;
 
     final StandIns standIns = new StandIns();
     final Members members;
     final StoreClient store;
     final Map<String, PoolerProcess> poolers = new LinkedHashMap<>();
     /** Ways by who goes and to which member. */
-    final Map<String, Map<String, FaultRelay>> ways = new HashMap<>();
+    final Map<String, Map<String, FaultRelay>> relays = new HashMap<>();
     private final Path folder;
     private final String settings;
-    private final List<PoolerProcess> further = new ArrayList<>();
-    private long worth = 1;
+    private final List<PoolerProcess> extraPoolers = new ArrayList<>();
+    private long overShareWorth = 1;
 
     /** {@code boundMs}: how long a pooler may serve what it cannot confirm, whole seconds. */
     public PolicyFleet(int voters, int followers, long boundMs) throws Exception {
@@ -52,37 +52,37 @@
         for (String server : List.of("s-1", "s-2", "s-3")) {
             standIns.start(server, StandIns.PG_KIND);
         }
-        List<String> listed = new ArrayList<>();
-        Map<String, InetSocketAddress> direct = new LinkedHashMap<>();
+        List<String> memberList = new ArrayList<>();
+        Map<String, InetSocketAddress> memberAddresses = new LinkedHashMap<>();
         for (int i = 1; i <= voters; i++) {
-            direct.put("n" + i, new InetSocketAddress("127.0.0.1", StandIns.freePort()));
-            listed.add("n" + i + "=127.0.0.1:" + direct.get("n" + i).getPort());
+            memberAddresses.put("n" + i, new InetSocketAddress("127.0.0.1", StandIns.freePort()));
+            memberList.add("n" + i + "=127.0.0.1:" + memberAddresses.get("n" + i).getPort());
         }
-        members = Members.parse(String.join(",", listed));
-        store = new StoreClient(members, CALL_MS);
+        members = Members.parse(String.join(",", memberList));
+        store = new StoreClient(members, CALL_TIMEOUT_MS);
         for (int i = 1; i <= voters + followers; i++) {
             String name = "p" + i;
-            String id = i <= voters ? "n" + i : null;
-            Map<String, FaultRelay> own = new LinkedHashMap<>();
+            String memberName = i <= voters ? "n" + i : null;
+            Map<String, FaultRelay> poolerRelays = new LinkedHashMap<>();
             List<String> routes = new ArrayList<>();
             for (String member : members.names()) {
-                if (!member.equals(id)) {
-                    own.put(member, new FaultRelay(direct.get(member)));
-                    routes.add(member + "=127.0.0.1:" + own.get(member).address().getPort());
+                if (!member.equals(memberName)) {
+                    poolerRelays.put(member, new FaultRelay(memberAddresses.get(member)));
+                    routes.add(member + "=127.0.0.1:" + poolerRelays.get(member).address().getPort());
                 }
             }
-            ways.put(name, own);
-            List<String> flags = new ArrayList<>(List.of("--store-members", String.join(",", listed), "--policy-bound",
+            relays.put(name, poolerRelays);
+            List<String> flags = new ArrayList<>(List.of("--store-members", String.join(",", memberList), "--policy-bound",
                     boundMs / 1_000 + "s", "--store-route", String.join(",", routes)));
-            if (id != null) {
-                flags.addAll(List.of("--store-id", id, "--store-first"));
+            if (memberName != null) {
+                flags.addAll(List.of("--store-id", memberName, "--store-first"));
             }
-            poolers.put(name, process(name, flags));
+            poolers.put(name, newProcess(name, flags));
         }
         settings = new JSONObject(standIns.config(1, 256, 512)).getJSONObject("settings").toString();
     }
 
-    private PoolerProcess process(String name, List<String> flags) throws IOException {
+    private PoolerProcess newProcess(String name, List<String> flags) throws IOException {
         int port = StandIns.freePort();
         return new PoolerProcess(name, port, folder.resolve(name), standIns.config(port, 256, 512), flags);
     }
@@ -98,22 +98,22 @@
     }
 
     /** A further pooler before the same servers, told its policy by its own file. */
-    public PoolerProcess alone() throws IOException, InterruptedException {
-        PoolerProcess pooler = further("alone" + further.size(), List.of());
+    public PoolerProcess startStandalone() throws IOException, InterruptedException {
+        PoolerProcess pooler = startExtra("alone" + extraPoolers.size(), List.of());
         pooler.awaitListening();
         return pooler;
     }
 
     /** Starts a further pooler with these flags; it is in nobody's way and not waited for. */
-    PoolerProcess further(String name, List<String> flags) throws IOException {
-        PoolerProcess pooler = process(name, flags);
-        further.add(pooler);
+    PoolerProcess startExtra(String name, List<String> flags) throws IOException {
+        PoolerProcess pooler = newProcess(name, flags);
+        extraPoolers.add(pooler);
         pooler.start();
         return pooler;
     }
 
     /** The members as the poolers were told of them. */
-    String listed() {
+    String memberList() {
         return String.join(",", members.names().stream()
                 .map(name -> name + "=127.0.0.1:" + members.address(name).getPort()).toList());
     }
@@ -126,8 +126,8 @@
     // ---- Changes ----
 
     /** The text of a policy that no version had before. */
-    String text() {
-        return new JSONObject().put("settings", new JSONObject(settings).put("over-share-worth", ++worth)).toString();
+    String newPolicyText() {
+        return new JSONObject().put("settings", new JSONObject(settings).put("over-share-worth", ++overShareWorth)).toString();
     }
 
     PolicyHistory history() throws IOException {
@@ -137,71 +137,71 @@
     /** Keeps a new version; its number. */
     long propose() throws IOException {
         long newest = history().newestNumber();
-        EntryResult verdict = store.write(new Propose(PolicyVersion.of(newest + 1, newest, text(), "drill")));
-        if (!verdict.accepted()) {
-            throw new IOException(verdict.reason());
+        EntryResult result = store.write(new Propose(PolicyVersion.of(newest + 1, newest, newPolicyText(), "drill")));
+        if (!result.accepted()) {
+            throw new IOException(result.reason());
         }
         return newest + 1;
     }
 
     /** Whether it is in force then, by this call or one before that nobody told the outcome of; else why not. */
     EntryResult activate(long number, long delayMs) throws IOException {
-        EntryResult verdict = store.write(new Activate(number, delayMs * 1_000_000, "drill", 0));
-        return verdict.reason().endsWith("in force already") ? new EntryResult(true, "") : verdict;
+        EntryResult result = store.write(new Activate(number, delayMs * 1_000_000, "drill", 0));
+        return result.reason().endsWith("in force already") ? new EntryResult(true, "") : result;
     }
 
     /** Proposes a version and puts it in force as soon as enough members have checked it. */
-    public void change(long delayMs) throws IOException, InterruptedException {
+    public void changePolicy(long delayMs) throws IOException, InterruptedException {
         long number = propose();
-        EntryResult verdict = activate(number, delayMs);
-        for (long by = nowMs() + AGREE_MS; !verdict.accepted(); Thread.sleep(5)) {
-            if (nowMs() > by) {
-                throw new IOException(verdict.reason());
+        EntryResult result = activate(number, delayMs);
+        for (long deadlineMs = nowMs() + AGREEMENT_TIMEOUT_MS; !result.accepted(); Thread.sleep(5)) {
+            if (nowMs() > deadlineMs) {
+                throw new IOException(result.reason());
             }
-            verdict = activate(number, delayMs);
+            result = activate(number, delayMs);
         }
     }
 
     // ---- Agreement ----
 
     /** Waits until every pooler serves what is in force, confirmed, and all members hold one history. */
-    public void awaitAll() throws InterruptedException, IOException {
-        String missing = awaitAgreement();
-        if (!missing.isEmpty()) {
-            throw new IOException("the fleet does not agree: " + missing);
+    public void requireAgreement() throws InterruptedException, IOException {
+        String disagreement = awaitAgreement();
+        if (!disagreement.isEmpty()) {
+            throw new IOException("the fleet does not agree: " + disagreement);
         }
     }
 
     /** Empty once the fleet agrees, else what still misses after all that time. */
     String awaitAgreement() throws InterruptedException {
-        String missing = "";
-        for (long by = nowMs() + AGREE_MS; nowMs() < by; Thread.sleep(10)) {
+        String disagreement = "";
+        for (long deadlineMs = nowMs() + AGREEMENT_TIMEOUT_MS; nowMs() < deadlineMs; Thread.sleep(10)) {
             try {
-                missing = missing();
-                if (missing.isEmpty()) {
+                disagreement = findDisagreement();
+                if (disagreement.isEmpty()) {
                     return "";
                 }
             } catch (IOException e) {
-                missing = e.getMessage();
+                disagreement = e.getMessage();
             }
         }
-        return missing;
+        return disagreement;
     }
 
-    private String missing() throws IOException {
+    private String findDisagreement() throws IOException {
         PolicyHistory history = history();
         long active = history.active().map(PolicyHistory.Activation::number).orElse(0L);
         for (String member : members.names()) {
-            PolicyHistory own = ProtoMapper.toHistory(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance())
+            PolicyHistory memberHistory = ProtoMapper.toHistory(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance())
                     .build(), member).getHistory());
-            if (!own.versions().equals(history.versions()) || !own.activations().equals(history.activations())) {
+            if (!memberHistory.versions().equals(history.versions()) || !memberHistory.activations().equals(history.activations())) {
                 return "the history of " + member + " is another";
             }
         }
         for (PoolerProcess pooler : poolers.values()) {
-            try (PgClient talk = pooler.talk()) {
+            try (PgClient client = pooler.connect()) {
                 Map<String, String> stats = new HashMap<>();
-                talk.query("SHOW STATS", stats);
+                client.query("SHOW STATS", stats);
                 if (!stats.get("policy_version").equals(Long.toString(active))
                         || !stats.get("policy_state").equals("confirmed")) {
                     return pooler.name + " is at " + stats.get("policy_version") + " " + stats.get("policy_state")
@@ -214,7 +214,7 @@
 
     // ---- Faults ----
 
-    boolean votes(String pooler) {
+    boolean isVoter(String pooler) {
         return members.names().contains(memberOf(pooler));
     }
 
@@ -224,7 +224,7 @@
 
     /** The pooler whose member leads. */
     String leader() throws InterruptedException {
-        for (long by = nowMs() + AGREE_MS; nowMs() < by; Thread.sleep(100)) {
+        for (long deadlineMs = nowMs() + AGREEMENT_TIMEOUT_MS; nowMs() < deadlineMs; Thread.sleep(100)) {
             for (String member : members.names()) {
                 try {
                     if (store.status(member).role().equals("leader")) {
@@ -238,21 +238,21 @@
         throw new IllegalStateException("nobody leads");
     }
 
-    void waysOf(String pooler, Mode mode) {
-        ways.get(pooler).values().forEach(way -> way.setMode(mode));
+    void setRelayMode(String pooler, Mode mode) {
+        relays.get(pooler).values().forEach(relay -> relay.setMode(mode));
     }
 
     /** Cuts these off from the members among the others, both ways. */
-    void split(List<String> small) {
-        ways.forEach((from, own) -> own.forEach((to, way) -> {
-            boolean across = small.contains(from) != small.contains("p" + to.substring(1));
-            way.setMode(across ? Mode.SILENT : Mode.PASS);
+    void partition(List<String> minority) {
+        relays.forEach((from, poolerRelays) -> poolerRelays.forEach((to, relay) -> {
+            boolean crossesPartition = minority.contains(from) != minority.contains("p" + to.substring(1));
+            relay.setMode(crossesPartition ? Mode.SILENT : Mode.PASS);
         }));
     }
 
     /** Lets all pass, and starts whoever is down. */
     void heal() throws IOException {
-        ways.keySet().forEach(pooler -> waysOf(pooler, Mode.PASS));
+        relays.keySet().forEach(pooler -> setRelayMode(pooler, Mode.PASS));
         for (PoolerProcess pooler : poolers.values()) {
             if (!pooler.isAlive()) {
                 pooler.start();
@@ -272,18 +272,18 @@
     @Override
     public void close() throws Exception {
         poolers.values().forEach(PoolerProcess::kill);
-        further.forEach(PoolerProcess::kill);
+        extraPoolers.forEach(PoolerProcess::kill);
         store.close();
-        for (Map<String, FaultRelay> own : ways.values()) {
-            for (FaultRelay way : own.values()) {
-                way.close();
+        for (Map<String, FaultRelay> poolerRelays : relays.values()) {
+            for (FaultRelay relay : poolerRelays.values()) {
+                relay.close();
             }
         }
         standIns.close();
     }
 
     /** Removes what the processes left. */
-    public void forget() throws IOException {
+    public void deleteFiles() throws IOException {
         try (var files = Files.walk(folder)) {
             files.sorted(Collections.reverseOrder()).forEach(file -> file.toFile().delete());
         }
--- a/app/src/main/java/holdmux/app/drill/PoolerProcess.java
+++ b/app/src/main/java/holdmux/app/drill/PoolerProcess.java
@@ -14,15 +14,15 @@
 /** One pooler of a drill: the program in a process of its own, with a folder that outlives it. */
 public final class PoolerProcess {
     /** Any start, on a machine that starts ten at once. */
-    private static final long START_MS = 60_000;
+    private static final long START_TIMEOUT_MS = 60_000;
 
     public final String name;
     public final int port;
     private final Path folder;
     private final List<String> flags;
     /** What the program is started by, as a shell that sets limits; mostly nothing. */
-    private List<String> by = List.of();
-    private List<String> machine = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx160m", "-XX:-UsePerfData");
+    private List<String> launcher = List.of();
+    private List<String> jvmFlags = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx160m", "-XX:-UsePerfData");
     private final Map<String, String> environment = new HashMap<>();
     private Process process;
 
@@ -32,39 +32,39 @@
         this.port = port;
         this.folder = Files.createDirectories(folder);
         this.flags = flags;
-        configure(config);
+        writeConfig(config);
     }
 
     /** Writes the configuration file anew, for the next start or SIGHUP. */
-    public void configure(String config) throws IOException {
+    public void writeConfig(String config) throws IOException {
         // positions of one fleet, seeds of each: the order in which it asks the store follows the seed
-        JSONObject own = new JSONObject(config).put("name", name).put("seed", Integer.toHexString(name.hashCode()));
-        configureRaw(own.toString());
+        JSONObject ownConfig = new JSONObject(config).put("name", name).put("seed", Integer.toHexString(name.hashCode()));
+        writeRawConfig(ownConfig.toString());
     }
 
     /** Writes this text as the configuration file, whatever it is. */
-    public void configureRaw(String text) throws IOException {
+    public void writeRawConfig(String text) throws IOException {
         Files.writeString(folder.resolve("config.json"), text);
     }
 
     /** From its next start on one of the shell's limits holds: {@code -f 200} for files of 200 KiB, a disk that fills up. */
-    public void limit(String limit) {
-        by = List.of("sh", "-c", "ulimit " + limit + "; exec \"$@\"", "sh");
+    public void setUlimit(String limit) {
+        launcher = List.of("sh", "-c", "ulimit " + limit + "; exec \"$@\"", "sh");
     }
 
     /** From its next start on the process has this variable in its environment. */
-    public void environment(String variable, String value) {
+    public void setEnvironment(String variable, String value) {
         environment.put(variable, value);
     }
 
     /** What it has written to its log. */
-    public String log() throws IOException {
+    public String readLog() throws IOException {
         return Files.readString(folder.resolve("log"));
     }
 
     /** From its next start on the virtual machine has these flags. */
-    public void machine(List<String> flags) {
-        machine = List.copyOf(flags);
+    public void setJvmFlags(List<String> flags) {
+        jvmFlags = List.copyOf(flags);
     }
 
     public long pid() {
@@ -72,9 +72,9 @@
     }
 
     public void start() throws IOException {
-        List<String> command = new ArrayList<>(by);
+        List<String> command = new ArrayList<>(launcher);
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(machine);
+        command.addAll(jvmFlags);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), Main.class.getName(), "serve"));
         command.addAll(flags);
         if (!flags.isEmpty()) {
@@ -107,9 +107,9 @@
 
     /** Waits until it takes clients. */
     public void awaitListening() throws InterruptedException, IOException {
-        long by = System.nanoTime() + START_MS * 1_000_000;
-        while (System.nanoTime() < by && isAlive()) {
-            try (PgClient client = talk()) {
+        long deadlineNs = System.nanoTime() + START_TIMEOUT_MS * 1_000_000;
+        while (System.nanoTime() < deadlineNs && isAlive()) {
+            try (PgClient client = connect()) {
                 return;
             } catch (IOException e) {
                 Thread.sleep(50);
@@ -119,7 +119,7 @@
     }
 
     /** A new connection, on which no answer takes longer than a second. */
-    public PgClient talk() throws IOException {
+    public PgClient connect() throws IOException {
         return new PgClient(port, 1_000);
     }
 }
--- a/app/src/main/java/holdmux/app/soak/FaultSoak.java
+++ b/app/src/main/java/holdmux/app/soak/FaultSoak.java
@@ -120,8 +120,8 @@
             JSONObject config = new JSONObject(standIns.config(port, MEMORY_MB, SOCKETS));
             SoakPooler pooler = new SoakPooler("p" + i, port, folder, config.toString(), standIns.addAgent());
             if (shim != null) {
-                pooler.process().environment("LD_PRELOAD", shim.toString());
-                pooler.process().environment("SYSCALL_FAULTS_SEED", Long.toString(seed * poolerCount + i));
+                pooler.process().setEnvironment("LD_PRELOAD", shim.toString());
+                pooler.process().setEnvironment("SYSCALL_FAULTS_SEED", Long.toString(seed * poolerCount + i));
             }
             poolers.add(pooler);
             starts.add(threads.submit(startTask(pooler)));
@@ -288,7 +288,7 @@
         pooler.crowded(true);
         try {
             for (int i = 0; i < IDLE_CLIENTS; i++) {
-                clients.add(pooler.process().talk());
+                clients.add(pooler.process().connect());
             }
         } catch (IOException e) {
             // turned away: it is full
@@ -368,13 +368,13 @@
     private void checkPoolers() throws Exception {
         for (SoakPooler pooler : poolers) {
             if (!pooler.process().isAlive()) {
-                audit.broken("crash: " + pooler.name + ": " + pooler.process().log());
+                audit.broken("crash: " + pooler.name + ": " + pooler.process().readLog());
                 continue;
             }
             Map<String, String> counters = pooler.counters();
             ZERO_COUNTERS.stream().filter(name -> !"0".equals(counters.get(name)))
                     .forEach(name -> audit.broken(pooler.name + ": " + name + "=" + counters.get(name)));
-            pooler.process().log().lines().filter(line -> line.contains("rule broken"))
+            pooler.process().readLog().lines().filter(line -> line.contains("rule broken"))
                     .forEach(line -> audit.broken(pooler.name + ": " + line));
         }
     }
--- a/app/src/main/java/holdmux/app/soak/SoakClient.java
+++ b/app/src/main/java/holdmux/app/soak/SoakClient.java
@@ -147,7 +147,7 @@
             if (write) {
                 recordWriteResult(id, sqlState);
             } else if (kind == Kind.OWN && sqlState.isEmpty()) {
-                checkRead(id, rows.get(PgClient.VALUE));
+                checkRead(id, rows.get(PgClient.VALUE_COLUMN));
             }
         } catch (IOException e) {
             excused = !(e instanceof SocketTimeoutException) && isExcused(id);
--- a/app/src/main/java/holdmux/app/soak/SoakPooler.java
+++ b/app/src/main/java/holdmux/app/soak/SoakPooler.java
@@ -130,7 +130,7 @@
     /** Names the other way to discovery and tells the process by SIGHUP. */
     synchronized void reloadWithOtherRelay() throws IOException, InterruptedException {
         discoveryRelay[1 - activeRelay].setMode(FaultRelay.Mode.PASS);
-        process.configure(selectRelay(1 - activeRelay));
+        process.writeConfig(selectRelay(1 - activeRelay));
         process.signal("HUP");
     }
 
@@ -138,7 +138,7 @@
     Map<String, String> counters() throws IOException, InterruptedException {
         Map<String, String> counters = new HashMap<>();
         for (int i = 0; counters.isEmpty(); i++) {
-            try (PgClient client = process.talk()) {
+            try (PgClient client = process.connect()) {
                 client.query("SHOW STATS", counters);
             } catch (IOException e) {
                 if (i == MAX_STATS_RETRIES) {
--- a/app/src/test/java/holdmux/app/drill/DrainUnderFaultsTest.java
+++ b/app/src/test/java/holdmux/app/drill/DrainUnderFaultsTest.java
@@ -24,13 +24,13 @@
 @Timeout(60)
 class DrainUnderFaultsTest {
     /** The platform's terms: what discovery has counts as told by then, and the grace after that. */
-    private static final long TOLD_MS = 6_000, GRACE_MS = 2_000;
-    private static final long WATCHED_MS = 3_000;
-    private static final String DRAINING = "s-2";
+    private static final long DELIVERY_MS = 6_000, GRACE_MS = 2_000;
+    private static final long OBSERVED_MS = 3_000;
+    private static final String DRAINING_SERVER = "s-2";
 
     @TempDir
     Path folder;
-    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final ExecutorService executor = Executors.newCachedThreadPool();
 
     /**
      * Answers of discovery that take longer than a call is waited for were never heard: each call was closed with its answer
@@ -38,48 +38,48 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {800, 1_600})
-    void aDrainIsHeardFromASlowDiscovery(int eachWayMs) throws Exception {
-        try (StandIns fleet = new StandIns()) {
-            for (String server : List.of("s-1", DRAINING, "s-3")) {
-                fleet.start(server, StandIns.PG_KIND);
+    void drainTakesEffectWhenDiscoveryIsSlow(int oneWayDelayMs) throws Exception {
+        try (StandIns standIns = new StandIns()) {
+            for (String server : List.of("s-1", DRAINING_SERVER, "s-3")) {
+                standIns.start(server, StandIns.PG_KIND);
             }
             int port = StandIns.freePort();
-            JSONObject config = new JSONObject(fleet.config(port, 192, 1_024));
+            JSONObject config = new JSONObject(standIns.config(port, 192, 1_024));
             try (FaultRelay discovery = new FaultRelay(Config.address(config.getString("discovery")))) {
                 config.put("discovery", "127.0.0.1:" + discovery.address().getPort());
                 PoolerProcess pooler = new PoolerProcess("p", port, folder, config.toString(), List.of());
-                AtomicBoolean over = new AtomicBoolean();
+                AtomicBoolean finished = new AtomicBoolean();
                 try {
                     pooler.start();
                     pooler.awaitListening();
-                    threads.submit(() -> load(pooler, over));
+                    executor.submit(() -> runLoad(pooler, finished));
                     Thread.sleep(1_000);
-                    discovery.setDelay(eachWayMs);
+                    discovery.setDelay(oneWayDelayMs);
                     Thread.sleep(3_000); // calls that were under way have ended
-                    long began = System.nanoTime();
-                    fleet.setHealth(DRAINING, "draining");
-                    Thread.sleep(TOLD_MS + GRACE_MS + WATCHED_MS);
-                    over.set(true);
-                    List<Arrival> arrivals = fleet.group().arrivals();
-                    assertTrue(arrivals.stream().anyMatch(a -> a.server().equals(DRAINING) && a.atNs() < began),
+                    long drainStartNs = System.nanoTime();
+                    standIns.setHealth(DRAINING_SERVER, "draining");
+                    Thread.sleep(DELIVERY_MS + GRACE_MS + OBSERVED_MS);
+                    finished.set(true);
+                    List<Arrival> arrivals = standIns.group().arrivals();
+                    assertTrue(arrivals.stream().anyMatch(a -> a.server().equals(DRAINING_SERVER) && a.atNs() < drainStartNs),
                             "it was in use");
-                    long end = began + (TOLD_MS + GRACE_MS) * 1_000_000;
-                    assertTrue(arrivals.stream().anyMatch(a -> a.atNs() > end), "the load goes on");
-                    assertEquals(0, arrivals.stream().filter(a -> a.server().equals(DRAINING) && a.atNs() > end).count(),
+                    long graceEndNs = drainStartNs + (DELIVERY_MS + GRACE_MS) * 1_000_000;
+                    assertTrue(arrivals.stream().anyMatch(a -> a.atNs() > graceEndNs), "the load goes on");
+                    assertEquals(0, arrivals.stream().filter(a -> a.server().equals(DRAINING_SERVER) && a.atNs() > graceEndNs).count(),
                             "requests sent to a draining server after the grace");
                 } finally {
-                    over.set(true);
+                    finished.set(true);
                     pooler.kill();
                 }
             }
         } finally {
-            threads.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    private static Void load(PoolerProcess pooler, AtomicBoolean over) throws Exception {
+    private static Void runLoad(PoolerProcess pooler, AtomicBoolean finished) throws Exception {
         try (PgClient client = new PgClient(pooler.port, 10_000)) {
-            for (int i = 0; !over.get(); i++) {
+            for (int i = 0; !finished.get(); i++) {
                 client.query("SELECT data FROM facts WHERE code = 'k' /* id=r" + i + ",c=history,d=1500,cluster=1 */",
                         new HashMap<>());
                 Thread.sleep(10);
--- a/app/src/test/java/holdmux/app/drill/PlatformTest.java
+++ b/app/src/test/java/holdmux/app/drill/PlatformTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import holdmux.app.demo.PgClient;
-import holdmux.app.demo.QuoteClient.Ending;
+import holdmux.app.demo.QuoteClient.Outcome;
 import holdmux.config.Config;
 import holdmux.standins.Fault;
 import holdmux.standins.FaultRelay;
@@ -39,121 +39,121 @@
 /** The program by the flags of the platform's deploy file and within the platform's limits. */
 @Timeout(120)
 class PlatformTest {
-    private static final int SERVERS = 1_024, OF_A_GROUP = 6, MEMORY_MB = 192, SOCKETS = 1_024, CLIENTS = 8, REQUESTS = 300;
+    private static final int SERVERS = 1_024, SERVERS_PER_GROUP = 6, MEMORY_MB = 192, SOCKETS = 1_024, CLIENTS = 8, REQUESTS = 300;
     /** More than a pooler may hold: half of its descriptors are for clients. */
-    private static final int IDLE = 700;
-    private static final long END_NS = 10_000_000_000L, TOLD_NS = 6_000_000_000L;
+    private static final int IDLE_CLIENTS = 700;
+    private static final long TIMEOUT_NS = 10_000_000_000L, DELIVERY_NS = 6_000_000_000L;
 
     @TempDir
     Path folder;
-    private final ExecutorService threads = Executors.newCachedThreadPool();
-    private StandIns fleet;
+    private final ExecutorService executor = Executors.newCachedThreadPool();
+    private StandIns standIns;
     private PoolerProcess pooler;
 
     @BeforeEach
-    void begin() throws Exception {
-        fleet = new StandIns();
-        fleet.start("s-1", StandIns.PG_KIND);
-        fleet.start("s-2", StandIns.PG_KIND);
+    void startStandIns() throws Exception {
+        standIns = new StandIns();
+        standIns.start("s-1", StandIns.PG_KIND);
+        standIns.start("s-2", StandIns.PG_KIND);
     }
 
-    private void start() throws Exception {
-        start(config -> { });
+    private void startPooler() throws Exception {
+        startPooler(config -> { });
     }
 
     /** {@code change}: what this pooler is told otherwise. */
-    private void start(Consumer<JSONObject> change) throws Exception {
+    private void startPooler(Consumer<JSONObject> customizer) throws Exception {
         int port = StandIns.freePort();
-        JSONObject config = new JSONObject(fleet.config(port, MEMORY_MB, SOCKETS));
-        change.accept(config);
+        JSONObject config = new JSONObject(standIns.config(port, MEMORY_MB, SOCKETS));
+        customizer.accept(config);
         pooler = new PoolerProcess("p", port, folder, config.toString(), List.of());
         String deploy = Files.readString(Path.of("..", "deploy", "balancer.toml"));
-        int flags = deploy.indexOf("run = \"exec java ") + 17;
-        pooler.machine(List.of(deploy.substring(flags, deploy.indexOf(" -cp ", flags)).split(" ")));
-        pooler.limit("-n " + SOCKETS);
+        int flagsStart = deploy.indexOf("run = \"exec java ") + 17;
+        pooler.setJvmFlags(List.of(deploy.substring(flagsStart, deploy.indexOf(" -cp ", flagsStart)).split(" ")));
+        pooler.setUlimit("-n " + SOCKETS);
         pooler.start();
         pooler.awaitListening();
     }
 
     @AfterEach
-    void end() throws Exception {
-        threads.shutdownNow();
+    void stopAll() throws Exception {
+        executor.shutdownNow();
         pooler.kill();
-        fleet.close();
+        standIns.close();
     }
 
     /** Guards against caps, threads, buffers or descriptors sized for a small fleet, and against losing what was taken. */
     @Test
-    void aThousandServersAreServedWithinTheLimitsWhileTheirListChanges() throws Exception {
-        list(2, 1, "up");
-        start();
-        List<Future<Map<Ending, Integer>>> told = new ArrayList<>();
+    void thousandServersAreServedWithinTheLimitsWhileTheListChanges() throws Exception {
+        listServers(2, 1, "up");
+        startPooler();
+        List<Future<Map<Outcome, Integer>>> results = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            int client = i;
-            told.add(threads.submit(() -> load(client)));
+            int clientIndex = i;
+            results.add(executor.submit(() -> runClient(clientIndex)));
         }
-        list(OF_A_GROUP, 7, "draining");
-        list(OF_A_GROUP, 7, "removed");
-        list(OF_A_GROUP, 7, "up");
-        Map<Ending, Integer> all = new EnumMap<>(Ending.class);
-        for (Future<Map<Ending, Integer>> of : told) {
-            of.get().forEach((ending, count) -> all.merge(ending, count, Integer::sum));
+        listServers(SERVERS_PER_GROUP, 7, "draining");
+        listServers(SERVERS_PER_GROUP, 7, "removed");
+        listServers(SERVERS_PER_GROUP, 7, "up");
+        Map<Outcome, Integer> totals = new EnumMap<>(Outcome.class);
+        for (Future<Map<Outcome, Integer>> result : results) {
+            result.get().forEach((outcome, count) -> totals.merge(outcome, count, Integer::sum));
         }
-        assertEquals(0, all.getOrDefault(Ending.FAILED, 0), "failed or lost: " + all);
-        assertTrue(all.getOrDefault(Ending.SERVED, 0) > CLIENTS * REQUESTS / 2, "served " + all);
-        Path system = Path.of("/proc", Long.toString(pooler.pid()));
-        try (Stream<Path> open = Files.list(system.resolve("fd"))) {
-            assertTrue(open.count() < SOCKETS);
+        assertEquals(0, totals.getOrDefault(Outcome.FAILED, 0), "failed or lost: " + totals);
+        assertTrue(totals.getOrDefault(Outcome.SERVED, 0) > CLIENTS * REQUESTS / 2, "served " + totals);
+        Path procFolder = Path.of("/proc", Long.toString(pooler.pid()));
+        try (Stream<Path> descriptors = Files.list(procFolder.resolve("fd"))) {
+            assertTrue(descriptors.count() < SOCKETS);
         }
-        String peak = Files.readAllLines(system.resolve("status")).stream().filter(line -> line.startsWith("VmHWM"))
+        String peak = Files.readAllLines(procFolder.resolve("status")).stream().filter(line -> line.startsWith("VmHWM"))
                 .findFirst().orElseThrow();
         assertTrue(Long.parseLong(peak.replaceAll("\\D", "")) < MEMORY_MB * 1_024, peak);
-        assertEquals(0, counter("over_capacity"));
-        assertEquals(0, counter("lists_refused"));
+        assertEquals(0, readCounter("over_capacity"));
+        assertEquals(0, readCounter("lists_refused"));
         pooler.signal("TERM");
-        awaitEnd();
+        awaitExit();
         assertTrue(Files.readAllLines(folder.resolve("log")).stream().noneMatch(line -> line.startsWith("error")));
     }
 
-    private long counter(String name) throws Exception {
+    private long readCounter(String name) throws Exception {
         Map<String, String> counters = new HashMap<>();
-        long by = System.nanoTime() + END_NS;
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
         while (!counters.containsKey(name)) {
-            try (PgClient client = pooler.talk()) {
+            try (PgClient client = pooler.connect()) {
                 client.query("SHOW STATS", counters);
             } catch (IOException e) {
-                assertTrue(System.nanoTime() < by, "turned away in a crowd, time and again: " + e);
+                assertTrue(System.nanoTime() < deadlineNs, "turned away in a crowd, time and again: " + e);
                 Thread.sleep(50);
             }
         }
         return Long.parseLong(counters.get(name));
     }
 
-    private void awaitEnd() throws InterruptedException {
-        long by = System.nanoTime() + END_NS;
-        while (pooler.isAlive() && System.nanoTime() < by) {
+    private void awaitExit() throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
+        while (pooler.isAlive() && System.nanoTime() < deadlineNs) {
             Thread.sleep(10);
         }
         assertFalse(pooler.isAlive(), "it does not end");
     }
 
     /** Lists every so many servers from one on: the first of each group is played by the primary, the others by a replica. */
-    private void list(int from, int every, String health) {
-        for (int i = from; i < SERVERS; i += every) {
-            fleet.addAlias("s-of-a-large-fleet-" + i, i % OF_A_GROUP == 0 ? "s-1" : "s-2", 1 + i / OF_A_GROUP, health);
+    private void listServers(int first, int step, String health) {
+        for (int i = first; i < SERVERS; i += step) {
+            standIns.addAlias("s-of-a-large-fleet-" + i, i % SERVERS_PER_GROUP == 0 ? "s-1" : "s-2", 1 + i / SERVERS_PER_GROUP, health);
         }
     }
 
-    private Map<Ending, Integer> load(int client) throws Exception {
-        SplittableRandom random = new SplittableRandom(client);
-        Map<Ending, Integer> told = new EnumMap<>(Ending.class);
-        try (PgClient to = new PgClient(pooler.port, 10_000)) {
+    private Map<Outcome, Integer> runClient(int clientIndex) throws Exception {
+        SplittableRandom random = new SplittableRandom(clientIndex);
+        Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
+        try (PgClient client = new PgClient(pooler.port, 10_000)) {
             for (int i = 0; i < REQUESTS; i++) {
-                told.merge(to.ask(sql(random.nextInt(10) == 0, client + "x" + i, 1 + random.nextInt(SERVERS / OF_A_GROUP))), 1,
-                        Integer::sum);
+                outcomes.merge(client.execute(sql(random.nextInt(10) == 0, clientIndex + "x" + i,
+                        1 + random.nextInt(SERVERS / SERVERS_PER_GROUP))), 1, Integer::sum);
             }
         }
-        return told;
+        return outcomes;
     }
 
     private static String sql(boolean write, String id, int group) {
@@ -166,56 +166,57 @@
      * servers hang to the end: the process ended 3.5 s after SIGTERM, whatever was open, and its clients saw a close.
      */
     @Test
-    void whatHangsAtTheEndIsAnswered() throws Exception {
-        start();
+    void requestsToHungServersAreAnsweredBeforeExit() throws Exception {
+        startPooler();
         List<PgClient> clients = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             clients.add(new PgClient(pooler.port, 10_000));
         }
-        List<Future<String>> told = new ArrayList<>(List.of(hangs(clients.get(0), "w"), hangs(clients.get(1), "r")));
-        while (!fleet.group().runCounts().containsKey("w")) {
+        List<Future<String>> answers = new ArrayList<>(List.of(queryHungServers(clients.get(0), "w"),
+                queryHungServers(clients.get(1), "r")));
+        while (!standIns.group().runCounts().containsKey("w")) {
             Thread.sleep(10);
         }
         pooler.signal("TERM");
         for (int i = 2; i < 5; i++) {
             Thread.sleep(900); // the last of them 2.7 s after SIGTERM, with 1.5 s to wait
-            told.add(hangs(clients.get(i), "r" + i));
+            answers.add(queryHungServers(clients.get(i), "r" + i));
         }
-        assertEquals("08007", told.get(0).get(), "the write may have run");
-        for (Future<String> read : told.subList(1, told.size())) {
+        assertEquals("08007", answers.get(0).get(), "the write may have run");
+        for (Future<String> read : answers.subList(1, answers.size())) {
             assertTrue(List.of("53300", "57P03").contains(read.get()), read.get());
         }
-        awaitEnd();
+        awaitExit();
     }
 
     /** Asks for what every server hangs on, a write where the id says so; the SQLSTATE of its answer. */
-    private Future<String> hangs(PgClient client, String id) {
-        fleet.group().planFaults(id, Collections.nCopies(6, Fault.of(Fault.Kind.SILENT, Fault.Phase.AFTER_RUN)).toArray(Fault[]::new));
-        Callable<String> asks = () -> client.query(sql(id.equals("w"), id, 1), new HashMap<>());
-        return threads.submit(asks);
+    private Future<String> queryHungServers(PgClient client, String id) {
+        standIns.group().planFaults(id, Collections.nCopies(6, Fault.of(Fault.Kind.SILENT, Fault.Phase.AFTER_RUN)).toArray(Fault[]::new));
+        Callable<String> query = () -> client.query(sql(id.equals("w"), id, 1), new HashMap<>());
+        return executor.submit(query);
     }
 
     /** However many idle clients come while discovery is down: its connection has a descriptor when it is back. */
     @Test
-    void discoveryIsHeardAtItsReturnThoughIdleClientsFillThePooler() throws Exception {
-        InetSocketAddress agent = Config.address(new JSONObject(fleet.config(1, 1, 1)).getString("discovery"));
-        List<Socket> idle = new ArrayList<>();
+    void discoveryReconnectsWhenIdleClientsFillThePooler() throws Exception {
+        InetSocketAddress agent = Config.address(new JSONObject(standIns.config(1, 1, 1)).getString("discovery"));
+        List<Socket> idleClients = new ArrayList<>();
         try (FaultRelay discovery = new FaultRelay(agent)) {
             discovery.setMode(FaultRelay.Mode.RESET);
-            start(config -> config.put("discovery", "127.0.0.1:" + discovery.address().getPort()));
-            for (int i = 0; i < IDLE; i++) {
-                idle.add(new Socket("127.0.0.1", pooler.port));
+            startPooler(config -> config.put("discovery", "127.0.0.1:" + discovery.address().getPort()));
+            for (int i = 0; i < IDLE_CLIENTS; i++) {
+                idleClients.add(new Socket("127.0.0.1", pooler.port));
             }
-            assertEquals(1, counter("lists_taken"), "the one it was given at its start");
-            fleet.setHealth("s-2", "draining");
+            assertEquals(1, readCounter("lists_taken"), "the one it was given at its start");
+            standIns.setHealth("s-2", "draining");
             discovery.setMode(FaultRelay.Mode.PASS);
-            long by = System.nanoTime() + TOLD_NS;
-            while (counter("lists_taken") <= 1) {
-                assertTrue(System.nanoTime() < by, "what discovery has counts as told by now");
+            long deadlineNs = System.nanoTime() + DELIVERY_NS;
+            while (readCounter("lists_taken") <= 1) {
+                assertTrue(System.nanoTime() < deadlineNs, "what discovery has counts as told by now");
                 Thread.sleep(100);
             }
         } finally {
-            for (Socket socket : idle) {
+            for (Socket socket : idleClients) {
                 socket.close();
             }
         }
@@ -223,8 +224,8 @@
 
     /** Nothing is fitted to one customer: another one's names and figures, none of them the same, are served alike. */
     @Test
-    void settingsOfWhichEveryNameAndFigureDiffersAreServed() throws Exception {
-        start(config -> {
+    void settingsWithEveryNameAndValueChangedAreServed() throws Exception {
+        startPooler(config -> {
             JSONObject settings = config.getJSONObject("settings");
             settings.put("zones", List.of("quayside")).put("skus", List.of("other")).put("step-ns", 3_000_000)
                     .put("balancers", 7).put("over-share-worth", 0.45);
--- a/app/src/test/java/holdmux/app/drill/PolicyCommandsTest.java
+++ b/app/src/test/java/holdmux/app/drill/PolicyCommandsTest.java
@@ -41,42 +41,42 @@
     @AfterEach
     void end() throws Exception {
         fleet.close();
-        fleet.forget();
+        fleet.deleteFiles();
     }
 
     /** What the command said; its exit code must be this one. */
-    private String run(int code, String... args) {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
+    private String run(int expectedExitCode, String... args) {
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
         PrintStream out = System.out;
-        System.setOut(new PrintStream(told, true, StandardCharsets.UTF_8));
-        int got;
+        System.setOut(new PrintStream(captured, true, StandardCharsets.UTF_8));
+        int exitCode;
         try {
-            got = Cli.run(args);
+            exitCode = Cli.run(args);
         } finally {
             System.setOut(out);
         }
-        String words = told.toString(StandardCharsets.UTF_8);
-        assertEquals(code, got, () -> String.join(" ", args) + ": " + words);
-        return words;
+        String output = captured.toString(StandardCharsets.UTF_8);
+        assertEquals(expectedExitCode, exitCode, () -> String.join(" ", args) + ": " + output);
+        return output;
     }
 
-    private String policy(int code, String... args) {
-        return run(code, args(args));
+    private String runPolicy(int expectedExitCode, String... args) {
+        return run(expectedExitCode, withMembers(args));
     }
 
-    private String[] args(String... args) {
-        String[] all = Arrays.copyOf(args, args.length + 2);
-        all[args.length] = "-m";
-        all[args.length + 1] = fleet.listed();
-        return all;
+    private String[] withMembers(String... args) {
+        String[] extended = Arrays.copyOf(args, args.length + 2);
+        extended[args.length] = "-m";
+        extended[args.length + 1] = fleet.memberList();
+        return extended;
     }
 
-    private String file(String name, String text) throws IOException {
+    private String writeFile(String name, String text) throws IOException {
         return Files.writeString(folder.resolve(name), text).toString();
     }
 
     private static Map<String, String> stats(PoolerProcess pooler) throws IOException {
-        try (PgClient client = pooler.talk()) {
+        try (PgClient client = pooler.connect()) {
             Map<String, String> rows = new HashMap<>();
             client.query("SHOW STATS", rows);
             return rows;
@@ -84,7 +84,7 @@
     }
 
     private static String read(PoolerProcess pooler) throws IOException {
-        try (PgClient client = pooler.talk()) {
+        try (PgClient client = pooler.connect()) {
             return client.query("SELECT data FROM facts WHERE code = 'k1' /* id=r1,c=rate-lookup,d=1000,cluster=1 */",
                     new HashMap<>());
         }
@@ -92,79 +92,81 @@
 
     /** From a new store to a roll-back, and members that come and go; each command says what it did. */
     @Test
-    void aPolicyIsProposedActivatedShownAndRolledBack() throws Exception {
+    void policyIsProposedActivatedShownAndRolledBack() throws Exception {
         fleet.startAll();
         assertEquals("57P03", read(fleet.follower()), "closed until a version is in force");
-        String whole = file("config.json", fleet.standIns.config(1, 256, 512));
-        assertTrue(policy(0, "policy", "propose", whole, "--activate", "--delay", "0ms").contains("version 1 is in force"));
-        fleet.awaitAll();
+        String wholeConfig = writeFile("config.json", fleet.standIns.config(1, 256, 512));
+        assertTrue(runPolicy(0, "policy", "propose", wholeConfig, "--activate", "--delay", "0ms").contains("version 1 is in force"));
+        fleet.requireAgreement();
         assertEquals("", read(fleet.follower()));
-        String next = file("next.json", fleet.text().replace("\"may-duplicate\":true", "\"may-duplicate\":false"));
-        assertTrue(policy(0, "policy", "propose", next, "--by", "ana").contains("version 2"));
-        assertTrue(policy(1, "policy", "propose", next, "--based-on", "1").contains("refused: version 2 cannot follow 2"));
-        assertTrue(policy(0, "policy", "diff", "1", "2").contains("settings.allowed.may-duplicate: true -> false"));
-        fleet.awaitAll();
+        String nextPolicy = writeFile("next.json", fleet.newPolicyText().replace("\"may-duplicate\":true", "\"may-duplicate\":false"));
+        assertTrue(runPolicy(0, "policy", "propose", nextPolicy, "--by", "ana").contains("version 2"));
+        assertTrue(runPolicy(1, "policy", "propose", nextPolicy, "--based-on", "1").contains("refused: version 2 cannot follow 2"));
+        assertTrue(runPolicy(0, "policy", "diff", "1", "2").contains("settings.allowed.may-duplicate: true -> false"));
+        fleet.requireAgreement();
         assertEquals("1", stats(fleet.follower()).get("policy_version"), "kept is not in force");
-        assertTrue(policy(0, "policy", "activate", "2", "--delay", "200ms").contains("version 2 is in force"));
-        fleet.awaitAll();
-        assertTrue(policy(1, "policy", "activate", "2").contains("in force already"));
-        assertTrue(policy(0, "policy", "rollback").contains("version 1 is in force"));
-        fleet.awaitAll();
+        assertTrue(runPolicy(0, "policy", "activate", "2", "--delay", "200ms").contains("version 2 is in force"));
+        fleet.requireAgreement();
+        assertTrue(runPolicy(1, "policy", "activate", "2").contains("in force already"));
+        assertTrue(runPolicy(0, "policy", "rollback").contains("version 1 is in force"));
+        fleet.requireAgreement();
         assertEquals("1", stats(fleet.follower()).get("policy_version"));
-        String status = policy(0, "policy", "status");
+        String status = runPolicy(0, "policy", "status");
         assertTrue(status.contains("in force: version 1") && status.lines().filter(l -> l.matches("p[1-4] .*version 1,.*"))
                 .count() == 4, status);
-        assertTrue(policy(0, "policy", "history").contains("version 2 ") && policy(0, "policy", "show", "2").contains("class"));
-        assertTrue(policy(1, "policy", "propose", file("bad.json", "{\"settings\":{}}")).isEmpty(), "said on standard error");
+        assertTrue(runPolicy(0, "policy", "history").contains("version 2 ") && runPolicy(0, "policy", "show", "2").contains("class"));
+        assertTrue(runPolicy(1, "policy", "propose", writeFile("bad.json", "{\"settings\":{}}")).isEmpty(), "said on standard error");
 
         String n4 = "n4=127.0.0.1:" + StandIns.freePort();
-        fleet.further("p5", List.of("--store-members", fleet.listed(), "--store-id", "n4", "--store-listen", n4.substring(3)))
+        fleet.startExtra("p5", List.of("--store-members", fleet.memberList(), "--store-id", "n4", "--store-listen", n4.substring(3)))
                 .awaitListening();
-        assertTrue(policy(0, "store", "add", n4).contains("n4="));
-        assertEquals(4, policy(0, "store", "members").lines().count());
-        assertTrue(policy(0, "store", "remove", "n1").startsWith("members: n2="));
+        assertTrue(runPolicy(0, "store", "add", n4).contains("n4="));
+        assertEquals(4, runPolicy(0, "store", "members").lines().count());
+        assertTrue(runPolicy(0, "store", "remove", "n1").startsWith("members: n2="));
         fleet.poolers.get("p1").kill();
-        for (long by = PolicyFleet.nowMs() + PolicyFleet.AGREE_MS; Cli.run(args("store", "status")) != 0; Thread.sleep(100)) {
-            assertTrue(PolicyFleet.nowMs() < by, "two of three members are up, and none leads");
+        for (long deadlineMs = PolicyFleet.nowMs() + PolicyFleet.AGREEMENT_TIMEOUT_MS; Cli.run(withMembers("store", "status")) != 0;
+                Thread.sleep(100)) {
+            assertTrue(PolicyFleet.nowMs() < deadlineMs, "two of three members are up, and none leads");
         }
-        assertTrue(policy(0, "policy", "activate", "2", "--delay", "0ms").contains("version 2 is in force"));
+        assertTrue(runPolicy(0, "policy", "activate", "2", "--delay", "0ms").contains("version 2 is in force"));
     }
 
     /** Cut off, a pooler serves on and says so, is closed at the bound, and opens again by itself. */
     @Test
-    void aPoolerThatIsCutOffIsClosedAtTheBoundAndOpensAgain() throws Exception {
+    void isolatedPoolerClosesAtTheBoundAndReopens() throws Exception {
         fleet.startAll();
-        fleet.change(0);
-        fleet.awaitAll();
-        PoolerProcess cut = fleet.follower();
-        fleet.waysOf(cut.name, Mode.SILENT);
-        fleet.change(0);
-        assertEquals("", read(cut));
-        assertEquals("1", stats(cut).get("policy_version"), "serves its last good version");
-        for (long by = PolicyFleet.nowMs() + 3 * BOUND_MS; !stats(cut).get("policy_state").equals("closed"); Thread.sleep(20)) {
-            assertTrue(PolicyFleet.nowMs() < by, "not closed past the bound");
+        fleet.changePolicy(0);
+        fleet.requireAgreement();
+        PoolerProcess isolated = fleet.follower();
+        fleet.setRelayMode(isolated.name, Mode.SILENT);
+        fleet.changePolicy(0);
+        assertEquals("", read(isolated));
+        assertEquals("1", stats(isolated).get("policy_version"), "serves its last good version");
+        for (long deadlineMs = PolicyFleet.nowMs() + 3 * BOUND_MS; !stats(isolated).get("policy_state").equals("closed");
+                Thread.sleep(20)) {
+            assertTrue(PolicyFleet.nowMs() < deadlineMs, "not closed past the bound");
         }
-        assertEquals("57P03", read(cut));
-        fleet.waysOf(cut.name, Mode.PASS);
-        fleet.awaitAll();
-        assertEquals("2", stats(cut).get("policy_version"));
-        assertEquals("", read(cut));
+        assertEquals("57P03", read(isolated));
+        fleet.setRelayMode(isolated.name, Mode.PASS);
+        fleet.requireAgreement();
+        assertEquals("2", stats(isolated).get("policy_version"));
+        assertEquals("", read(isolated));
     }
 
     /** A member whose disk is full takes no part; its pooler serves on under what the others put in force. */
     @Test
-    void aMemberWhoseDiskIsFullCostsNobodyAnything() throws Exception {
-        fleet.poolers.get("p3").limit("-f 200");
+    void memberWithAFullDiskDoesNotAffectOthers() throws Exception {
+        fleet.poolers.get("p3").setUlimit("-f 200");
         fleet.startAll();
-        fleet.change(0);
-        String large = " ".repeat(60_000);
+        fleet.changePolicy(0);
+        String padding = " ".repeat(60_000);
         for (int i = 0; i < 6; i++) {
-            String text = file("large" + i, fleet.text() + large);
-            policy(0, "policy", "propose", text, "--activate", "--delay", "0ms");
+            String text = writeFile("large" + i, fleet.newPolicyText() + padding);
+            runPolicy(0, "policy", "propose", text, "--activate", "--delay", "0ms");
         }
-        for (long by = PolicyFleet.nowMs() + PolicyFleet.AGREE_MS; !stats(fleet.poolers.get("p3")).get("policy_version")
+        for (long deadlineMs = PolicyFleet.nowMs() + PolicyFleet.AGREEMENT_TIMEOUT_MS; !stats(fleet.poolers.get("p3")).get("policy_version")
                 .equals("7"); Thread.sleep(20)) {
-            assertTrue(PolicyFleet.nowMs() < by, "the pooler beside the full disk is not told");
+            assertTrue(PolicyFleet.nowMs() < deadlineMs, "the pooler beside the full disk is not told");
         }
         assertEquals("", read(fleet.poolers.get("p3")));
         String log = Files.readString(fleet.folder().resolve("p3").resolve("log"));
--- a/app/src/test/java/holdmux/app/drill/PolicyDrillTest.java
+++ b/app/src/test/java/holdmux/app/drill/PolicyDrillTest.java
@@ -17,10 +17,10 @@
 class PolicyDrillTest {
     @Test
     @Timeout(value = 280, unit = TimeUnit.SECONDS)
-    void tenRoundsOfTroubleBreakNoRule() throws Exception {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        try (PolicyDrill drill = new PolicyDrill(5, 5, new PrintStream(told, true, StandardCharsets.UTF_8))) {
-            assertEquals(0, drill.run(10, 20261201), () -> told.toString(StandardCharsets.UTF_8));
+    void tenRoundsWithFaultsViolateNoRule() throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        try (PolicyDrill drill = new PolicyDrill(5, 5, new PrintStream(output, true, StandardCharsets.UTF_8))) {
+            assertEquals(0, drill.run(10, 20261201), () -> output.toString(StandardCharsets.UTF_8));
         }
     }
 }
