--- a/app/src/main/java/holdmux/app/Commands.java
+++ b/app/src/main/java/holdmux/app/Commands.java
@@ -27,16 +27,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.TypeConversionException;
 
-/** The command line: names, options, help and exit codes; what a command does stands elsewhere. */
-@Command(name = "holdmux", description = "Routes each request to the one server of its group that may answer it.",
+/** The command line: names, options, help texts and exit codes. The commands themselves are implemented in other classes. */
+@Command(name = "holdmux", description = "Pools connections and routes each request to a server of its group.",
         subcommands = {Commands.ServeCommand.class, Commands.SimHostCommand.class, Commands.DemoCommand.class,
             Commands.BenchCommand.class, Commands.DrillCommand.class, Commands.SoakCommand.class,
             PolicyCommands.class, StoreCommands.class, Commands.VersionCommand.class, HelpCommand.class},
-        synopsisSubcommandLabel = "COMMAND", footer = {"", "Exit codes: 0 done, 1 a fault, 2 wrong usage."})
+        synopsisSubcommandLabel = "COMMAND", footer = {"", "Exit codes: 0 success, 1 failure, 2 invalid usage."})
 final class Commands {
     private Commands() {}
 
-    /** Runs one command; the exit code is 0 when done, 1 for a fault, 2 for wrong usage. */
+    /** Runs one command. Returns exit code 0 for success, 1 for a failure, 2 for invalid usage. */
     static int run(String... args) {
         CommandLine commandLine = new CommandLine(new Commands()).setExecutionExceptionHandler((e, command, result) -> {
             command.getErr().println("holdmux: " + e.getMessage());
@@ -51,16 +51,16 @@
 
     @Command(name = "serve", description = "Serves clients until SIGTERM.", mixinStandardHelpOptions = true,
             footer = {"", "Environment:",
-                "  BALANCER_CONFIG      the configuration, a JSON file (needed)",
+                "  BALANCER_CONFIG      path of the configuration file, JSON (required)",
                 "  BALANCER_LISTEN, BALANCER_DISCOVERY, BALANCER_MANAGEMENT, BALANCER_NAME",
-                "                       have the last word over the file"})
+                "                       override the values of the file"})
     static final class ServeCommand implements Callable<Integer> {
         @Option(names = "--flight", paramLabel = "ADDRESS", converter = AddressConverter.class,
-                description = "Also serve Arrow Flight SQL at this numeric address and port, as 127.0.0.1:32010.")
+                description = "Also serve Arrow Flight SQL at this numeric address and port, for example 127.0.0.1:32010.")
         private InetSocketAddress flight;
 
         @Option(names = "--flight-kinds", paramLabel = "KIND", split = ",",
-                description = "Kinds of server, as discovery names them, that speak Flight SQL; the others speak PostgreSQL.")
+                description = "Server kinds, as named by discovery, that speak Flight SQL. All others speak PostgreSQL.")
         private Set<String> flightKinds = Set.of();
 
         @Mixin
@@ -79,6 +79,7 @@
         }
     }
 
+    /** Parses a numeric address and port. */
     static final class AddressConverter implements ITypeConverter<InetSocketAddress> {
         @Override
         public InetSocketAddress convert(String text) {
@@ -91,13 +92,13 @@
     }
 
     @Command(name = "demo", mixinStandardHelpOptions = true,
-            description = "Starts a stand-in group, discovery and a pooler with both fronts, and sends a small load.")
+            description = "Starts a group of stand-in servers, discovery and a pooler with both fronts, and sends a small load.")
     static final class DemoCommand implements Callable<Integer> {
         @Option(names = "--for", paramLabel = "DURATION", defaultValue = "10s", converter = DurationConverter.class,
-                description = "How long the load lasts, as 10s or 2m (default: ${DEFAULT-VALUE}).")
+                description = "Duration of the load, for example 10s or 2m (default: ${DEFAULT-VALUE}).")
         private Duration duration;
 
-        @Option(names = "--stay", description = "Goes on serving after the load, until Ctrl-C.")
+        @Option(names = "--stay", description = "Keep serving after the load, until Ctrl-C.")
         private boolean stay;
 
         @Override
@@ -107,14 +108,14 @@
     }
 
     @Command(name = "bench", mixinStandardHelpOptions = true,
-            description = "Measures what the Flight SQL side, or a policy of the fleet, costs on this machine, as ratios within one run.")
+            description = "Measures the overhead of Flight SQL, or of a fleet policy, on this machine as ratios within one run.")
     static final class BenchCommand implements Callable<Integer> {
         @Option(names = "--rounds", paramLabel = "N", defaultValue = "7",
-                description = "Pairs of each comparison (default: ${DEFAULT-VALUE}).")
+                description = "Measured pairs of each comparison (default: ${DEFAULT-VALUE}).")
         private int rounds;
 
         @Parameters(arity = "0..1", defaultValue = "", paramLabel = "PART",
-                description = "tables, reads, fronts, memory, or policy (four minutes); the first four where none is named.")
+                description = "tables, reads, fronts, memory or policy (takes four minutes). Default: the first four.")
         private String part;
 
         @Override
@@ -125,21 +126,21 @@
     }
 
     @Command(name = "drill", mixinStandardHelpOptions = true,
-            description = "Changes policy on a fleet of ten processes here, with faults between and upon them, and judges it.")
+            description = "Changes the policy of a local fleet of processes under injected faults and checks its guarantees.")
     static final class DrillCommand implements Callable<Integer> {
         @Option(names = "--rounds", paramLabel = "N", defaultValue = "14",
-                description = "Changes, each with a trouble (default: ${DEFAULT-VALUE}).")
+                description = "Policy changes, each with one fault scenario (default: ${DEFAULT-VALUE}).")
         private int rounds;
 
         @Option(names = "--members", paramLabel = "N", defaultValue = "5",
-                description = "Poolers that are members of the store, 3 or 5 (default: ${DEFAULT-VALUE}).")
+                description = "Poolers that are voting members of the store, 3 or 5 (default: ${DEFAULT-VALUE}).")
         private int members;
 
         @Option(names = "--followers", paramLabel = "N", defaultValue = "5",
-                description = "Poolers that only follow, 1 at least (default: ${DEFAULT-VALUE}).")
+                description = "Poolers that only follow the store, at least 1 (default: ${DEFAULT-VALUE}).")
         private int followers;
 
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Which troubles, in which order.")
+        @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Seed of the order of fault scenarios.")
         private long seed;
 
         @Override
@@ -151,23 +152,23 @@
     }
 
     @Command(name = "soak", mixinStandardHelpOptions = true,
-            description = "Runs poolers in processes of their own under random faults that overlap, and judges them by the rules.")
+            description = "Runs poolers in separate processes under random overlapping faults and checks their guarantees.")
     static final class SoakCommand implements Callable<Integer> {
         @Option(names = "--poolers", paramLabel = "N", defaultValue = "10",
-                description = "Processes, 10 to 40 (default: ${DEFAULT-VALUE}).")
+                description = "Number of pooler processes, 10 to 40 (default: ${DEFAULT-VALUE}).")
         private int poolers;
 
         @Option(names = "--for", paramLabel = "DURATION", defaultValue = "30s", converter = DurationConverter.class,
-                description = "How long faults come, for each seed (default: ${DEFAULT-VALUE}).")
+                description = "How long faults are injected, for each seed (default: ${DEFAULT-VALUE}).")
         private Duration duration;
 
         @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "The first seed.")
         private long seed;
 
-        @Option(names = "--seeds", paramLabel = "N", defaultValue = "1", description = "How many seeds, one after the other.")
+        @Option(names = "--seeds", paramLabel = "N", defaultValue = "1", description = "Number of consecutive seeds to run.")
         private int seeds;
 
-        @Option(names = "--syscalls", description = "The poolers' system calls on sockets fail too; needs a C compiler.")
+        @Option(names = "--syscalls", description = "Also make the poolers' system calls on sockets fail. Needs a C compiler.")
         private boolean syscalls;
 
         @Override
@@ -183,11 +184,12 @@
         }
     }
 
+    /** Parses a duration of milliseconds, seconds or minutes, such as {@code 200ms}, {@code 10s} or {@code 2m}. */
     static final class DurationConverter implements ITypeConverter<Duration> {
         @Override
         public Duration convert(String text) {
             if (!text.matches("[0-9]{1,6}(ms|s|m)")) {
-                throw new TypeConversionException("not a duration: " + text);
+                throw new TypeConversionException("invalid duration \"" + text + "\", expected a number followed by ms, s or m");
             }
             long amount = Long.parseLong(text.replaceAll("[a-z]", ""));
             return text.endsWith("ms") ? Duration.ofMillis(amount)
@@ -196,7 +198,7 @@
     }
 
     @Command(name = "simhost", mixinStandardHelpOptions = true,
-            description = "Plays the decisions on the simulator's wire, from standard input to standard output.")
+            description = "Serves the decision module to the simulator over standard input and output.")
     static final class SimHostCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
--- a/app/src/main/java/holdmux/app/Main.java
+++ b/app/src/main/java/holdmux/app/Main.java
@@ -6,12 +6,13 @@
 import java.util.List;
 
 /**
- * The program's entry. The platform starts {@code serve} and {@code simhost} with nothing behind them; these two go
- * their way before the command line's library is loaded, which docs/design.md has the figures for.
+ * The program's entry point. {@code serve} and {@code simhost} without options, as supervisors start them, run before
+ * picocli is loaded, which shortens their start (figures in docs/design.md).
  */
 public final class Main {
     private Main() {}
 
+    /** Runs the command named by the first argument and exits with its exit code. */
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("serve")) {
             System.exit(Serve.run(List.of()));
--- a/app/src/main/java/holdmux/app/PolicyCommands.java
+++ b/app/src/main/java/holdmux/app/PolicyCommands.java
@@ -32,7 +32,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code holdmux policy}: what the fleet serves under, and changes of it. Exit codes: 0 done, 1 refused or unreachable. */
+/** {@code holdmux policy}: shows and changes the fleet's policy. Exit codes: 0 success, 1 refused or unreachable. */
 @Command(name = "policy", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
         description = "Proposes, activates and shows versions of the fleet's policy.",
         subcommands = {PolicyCommands.ProposeCommand.class, PolicyCommands.ActivateCommand.class,
@@ -41,7 +41,7 @@
 final class PolicyCommands {
     private PolicyCommands() {}
 
-    /** What each of these needs: the members, and how long to wait for one. */
+    /** Base of the commands that call the store: its members and the time-out of one call. */
     abstract static class StoreClientCommand implements Callable<Integer> {
         @Option(names = {"-m", "--store-members"}, paramLabel = "MEMBERS", required = true,
                 defaultValue = "${env:HOLDMUX_STORE_MEMBERS}",
@@ -50,7 +50,7 @@
 
         @Option(names = "--wait", paramLabel = "DURATION", defaultValue = "2s",
                 converter = Commands.DurationConverter.class,
-                description = "How long one member may take to answer (default: ${DEFAULT-VALUE}).")
+                description = "Time-out of a call to one member (default: ${DEFAULT-VALUE}).")
         private Duration timeout;
 
         final PrintStream out = System.out;
@@ -79,7 +79,7 @@
             return result.accepted() ? 0 : 1;
         }
 
-        /** Puts a version in force, giving the members a moment to check one that has just been proposed. */
+        /** Activates a version. Retries while a version that has just been proposed is not yet checked by a majority. */
         final int activate(StoreClient store, long number, Duration delay, String author)
                 throws IOException, InterruptedException {
             EntryResult result = store.write(new Activate(number, delay.toNanos(), author, 0));
@@ -88,57 +88,58 @@
                 result = store.write(new Activate(number, delay.toNanos(), author, 0));
             }
             return printResult(result, "version " + number + " is in force, " + delay.toMillis()
-                    + " ms after each pooler hears of it");
+                    + " ms after each pooler learns of it");
         }
     }
 
-    /** A majority of members checks a version within a moment of its being kept, or is not there. */
+    /** Members check a version within moments of storing it. If no majority has after these retries, it is down. */
     private static final int MAX_CHECK_RETRIES = 20, CHECK_RETRY_MS = 100;
 
-    /** Who asks, for the history. */
+    /** The option that names the author of a change. */
     static final class AuthorOption {
         @Option(names = "--by", paramLabel = "NAME", defaultValue = "${sys:user.name}",
-                description = "Who asks, for the history (default: ${DEFAULT-VALUE}).")
+                description = "Author recorded in the history (default: ${DEFAULT-VALUE}).")
         private String name;
     }
 
-    @Command(name = "propose", mixinStandardHelpOptions = true, description = "Keeps a new version, made from the newest. "
+    @Command(name = "propose", mixinStandardHelpOptions = true, description = "Stores a new version based on the newest. "
             + "It is not in force until it is activated.")
     static final class ProposeCommand extends StoreClientCommand {
         @Mixin
         private AuthorOption author;
 
         @Option(names = "--based-on", paramLabel = "N",
-                description = "The version it was made from: refused if another has been kept since (default: the newest).")
+                description = "The version it is based on. Refused if another has been stored since (default: the newest).")
         private Long basedOn;
 
-        @Option(names = "--activate", description = "Puts it in force as well, as soon as a majority has checked it.")
+        @Option(names = "--activate", description = "Also activate it, as soon as a majority has checked it.")
         private boolean activate;
 
         @Option(names = "--delay", paramLabel = "DURATION", defaultValue = "1s",
-                converter = Commands.DurationConverter.class, description = "With --activate: how long each pooler waits.")
+                converter = Commands.DurationConverter.class,
+                description = "With --activate: how long each pooler waits before it switches.")
         private Duration delay;
 
-        @Parameters(paramLabel = "FILE", description = "The policy, or a pooler's whole configuration, of which the settings "
-                + "are taken.")
+        @Parameters(paramLabel = "FILE", description = "The policy, or a pooler's whole configuration, of which only the "
+                + "settings are used.")
         private Path file;
 
         @Override
         int run(StoreClient store, Members members) throws IOException, InterruptedException {
             if (Files.size(file) > 2L * PolicyVersion.MAX_BYTES) {
-                throw new ConfigException(file + " is over " + PolicyVersion.MAX_BYTES + " bytes");
+                throw new ConfigException(file + " is larger than " + PolicyVersion.MAX_BYTES + " bytes");
             }
             String text = policyText(Files.readString(file));
-            PolicyText.read(text); // a plain word here rather than from afar
+            PolicyText.read(text); // rejects an invalid policy before the store is called
             long newest = history(store).newestNumber();
             long base = basedOn == null ? newest : basedOn;
             PolicyVersion version = PolicyVersion.of(base + 1, base, text, author.name);
             int exitCode = printResult(store.write(new Propose(version)), "version " + version.number() + " " + version.shortChecksum()
-                    + " is kept" + (activate ? "" : "; holdmux policy activate " + version.number() + " puts it in force"));
+                    + " is stored" + (activate ? "" : "; holdmux policy activate " + version.number() + " puts it in force"));
             return exitCode != 0 || !activate ? exitCode : activate(store, version.number(), delay, author.name);
         }
 
-        /** A whole configuration has addresses and limits, which are no policy. */
+        /** Extracts the settings of a whole configuration: its addresses and limits are not part of a policy. */
         private static String policyText(String content) {
             try {
                 JSONObject root = new JSONObject(content);
@@ -150,15 +151,15 @@
         }
     }
 
-    @Command(name = "activate", mixinStandardHelpOptions = true, description = "Puts a kept version in force everywhere.")
+    @Command(name = "activate", mixinStandardHelpOptions = true, description = "Puts a stored version in force on all poolers.")
     static final class ActivateCommand extends StoreClientCommand {
         @Mixin
         private AuthorOption author;
 
         @Option(names = "--delay", paramLabel = "DURATION", defaultValue = "1s",
                 converter = Commands.DurationConverter.class,
-                description = "How long each pooler waits after it hears of it, so that all switch close together "
-                        + "(default: ${DEFAULT-VALUE}, 60s at most).")
+                description = "How long each pooler waits after it learns of the activation, so that all switch at "
+                        + "about the same time (default: ${DEFAULT-VALUE}, at most 60s).")
         private Duration delay;
 
         @Parameters(paramLabel = "N", description = "The version.")
@@ -171,12 +172,12 @@
     }
 
     @Command(name = "rollback", mixinStandardHelpOptions = true,
-            description = "Puts an older version in force again: the one before, or the one named; without delay.")
+            description = "Puts the previous version, or the given one, in force again without delay.")
     static final class RollbackCommand extends StoreClientCommand {
         @Mixin
         private AuthorOption author;
 
-        @Parameters(paramLabel = "N", arity = "0..1", description = "The version (default: the one in force before).")
+        @Parameters(paramLabel = "N", arity = "0..1", description = "The version (default: the previously active one).")
         private Long number;
 
         @Override
@@ -184,7 +185,7 @@
             if (number == null) {
                 List<PolicyHistory.Activation> activations = history(store).activations();
                 if (activations.size() < 2) {
-                    return printResult(new EntryResult(false, "there was none in force before"), "");
+                    return printResult(new EntryResult(false, "no version was in force before"), "");
                 }
                 number = activations.get(activations.size() - 2).number();
             }
@@ -192,7 +193,8 @@
         }
     }
 
-    @Command(name = "history", mixinStandardHelpOptions = true, description = "Lists versions, their checks and activations.")
+    @Command(name = "history", mixinStandardHelpOptions = true,
+            description = "Lists versions, the members' checks of them, and activations.")
     static final class HistoryCommand extends StoreClientCommand {
         @Override
         int run(StoreClient store, Members members) throws IOException {
@@ -222,12 +224,13 @@
         }
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true, description = "Tells what differs between two versions, by key.")
+    @Command(name = "diff", mixinStandardHelpOptions = true,
+            description = "Shows the differences between two versions, by key.")
     static final class DiffCommand extends StoreClientCommand {
         @Parameters(index = "0", paramLabel = "N", description = "A version.")
         private long from;
 
-        @Parameters(index = "1", arity = "0..1", paramLabel = "M", description = "Another (default: the one in force).")
+        @Parameters(index = "1", arity = "0..1", paramLabel = "M", description = "Another version (default: the one in force).")
         private Long to;
 
         @Override
@@ -239,7 +242,7 @@
     }
 
     @Command(name = "status", mixinStandardHelpOptions = true,
-            description = "Tells what is in force, and which pooler serves under which version since when.")
+            description = "Shows which version is in force, and which version each pooler serves under and since when.")
     static final class StatusCommand extends StoreClientCommand {
         @Override
         int run(StoreClient store, Members members) throws IOException {
@@ -247,7 +250,7 @@
             out.println(history.active().map(a -> "in force: version " + a.number() + " "
                     + history.version(a.number()).orElseThrow().sha256().substring(0, 12) + ", activation " + a.serial()
                     + " by " + a.by()).orElse("in force: none; each pooler is closed until a version is activated")
-                    + "; newest kept: " + history.newestNumber());
+                    + "; newest stored: " + history.newestNumber());
             List<Fleet> fleets = new ArrayList<>();
             for (String member : members.names()) {
                 try {
--- a/app/src/main/java/holdmux/app/bench/Clients.java
+++ b/app/src/main/java/holdmux/app/bench/Clients.java
@@ -5,15 +5,17 @@
 import org.apache.arrow.flight.FlightStream;
 import org.apache.arrow.flight.sql.FlightSqlClient;
 
-/** The benchmark's connections, a common form over both fronts; a request that is not served ends the run. */
+/** The benchmark's client connections over both fronts. A request that is not served ends the run. */
 final class Clients {
     private Clients() {}
 
-    /** One connection. */
+    /** A connection that sends reads. */
     interface Reader extends AutoCloseable {
+        /** Sends a read and waits for its whole answer. */
         void read(String sql) throws Exception;
     }
 
+    /** Reads over the PostgreSQL front. */
     static final class PgReader implements Reader {
         private final PgClient client;
 
@@ -24,7 +26,7 @@
         @Override
         public void read(String sql) {
             if (client.execute(sql) != QuoteClient.Outcome.SERVED) {
-                throw new IllegalStateException("not served");
+                throw new IllegalStateException("the pooler did not serve a request");
             }
         }
 
@@ -34,6 +36,7 @@
         }
     }
 
+    /** Reads over the Flight SQL front. */
     static final class FlightReader implements Reader {
         private final FlightSqlClient client;
 
@@ -45,7 +48,7 @@
         public void read(String sql) throws Exception {
             try (FlightStream stream = client.getStream(client.execute(sql).getEndpoints().get(0).getTicket())) {
                 while (stream.next()) {
-                    // all of it
+                    // reads all batches and discards them
                 }
             }
         }
--- a/app/src/main/java/holdmux/app/bench/FlightBench.java
+++ b/app/src/main/java/holdmux/app/bench/FlightBench.java
@@ -24,17 +24,17 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /**
- * What the Flight side costs, as ratios within one run: a pooler as a process of its own on loopback, stand-in servers and
- * clients in this one. Both ways of each comparison take turns, so that a drift of the machine meets both.
+ * Measures the overhead of Flight SQL as ratios within one run. The pooler is a separate process on loopback, stand-in servers
+ * and clients run in this one. The two sides of each comparison alternate, so that drift of the machine affects both.
  */
 public final class FlightBench {
     private static final int TABLE_MIB = 64;
-    /** A row is a long and an int, and their validity: a batch of a MiB. */
+    /** Rows of a 1 MiB batch: a row is a long, an int and a validity bit for each. */
     private static final int ROWS_PER_MIB = (1 << 20) * 8 / (64 + 32 + 2);
     private static final int SMALL_READS = 400;
     private static final int LOAD_CLIENTS = 8;
     private static final long LOAD_DURATION_NS = 2_000_000_000L;
-    /** Rounds that do not count: gRPC and Netty are much code to compile. */
+    /** Rounds that are not measured, while the JIT compiles gRPC and Netty. */
     private static final int WARM_UP_ROUNDS = 4;
     private static final int MEMORY_MB = 1_024, SOCKETS = 8_192;
 
@@ -43,13 +43,13 @@
     private final BufferAllocator allocator = new RootAllocator();
     private int lastId;
 
-    /** {@code rounds}: pairs of each comparison. */
+    /** {@code rounds}: measured pairs of each comparison. */
     public FlightBench(int rounds, PrintStream out) {
         this.rounds = rounds;
         this.out = out;
     }
 
-    /** One pooler process before the stand-ins. */
+    /** A pooler process in front of the stand-in servers. */
     private static final class BenchPooler implements AutoCloseable {
         final int pgPort = StandIns.freePort();
         final int flightPort = StandIns.freePort();
@@ -66,7 +66,7 @@
             command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "--add-opens=java.base/java.nio=ALL-UNNAMED", "-XX:+UseSerialGC", "-Xmx512m"));
             if (oneCore) {
-                command.add("-XX:TieredStopAtLevel=1"); // as deploy/balancer.toml does: one core has no room for more
+                command.add("-XX:TieredStopAtLevel=1"); // as in deploy/balancer.toml: with a single core, C2 compilation would compete with requests
             }
             command.addAll(List.of("-cp",
                     System.getProperty("java.class.path"), "holdmux.app.Main", "serve", "--flight", "127.0.0.1:" + flightPort,
@@ -78,10 +78,12 @@
             process = builder.start();
         }
 
+        /** CPU time that the process has used. */
         double cpuMs() {
             return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
         }
 
+        /** Resident memory of the process. */
         double residentMb() throws IOException {
             return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
                     .filter(line -> line.startsWith("VmRSS")).mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")))
@@ -97,7 +99,7 @@
         }
     }
 
-    /** Runs all of it, or the part of that name (tables, reads, fronts, memory); the exit code is 0. */
+    /** Runs the part of that name (tables, reads, fronts, memory), or all parts if it is empty. Returns exit code 0. */
     public int run(String part) throws Exception {
         try (StandIns flight = new StandIns(); StandIns pg = new StandIns()) {
             for (String name : List.of("s-1", "s-2", "s-3")) {
@@ -127,6 +129,7 @@
         return 0;
     }
 
+    /** Opens a connection, retrying until the pooler answers a read. */
     private FlightSqlClient connect(int port) throws Exception {
         for (int attempts = 0;; attempts++) {
             FlightSqlClient client = new FlightSqlClient(
@@ -135,7 +138,7 @@
                 read(client, smallQuery());
                 return client;
             } catch (FlightRuntimeException e) {
-                client.close(); // not ready yet
+                client.close(); // the pooler is not ready yet
                 if (attempts > 200) {
                     throw e;
                 }
@@ -144,6 +147,7 @@
         }
     }
 
+    /** The comment with a new request id, class, deadline and group that the pooler reads. */
     private synchronized String requestComment() {
         return " /* id=b" + ++lastId + ",c=history,d=30000,cluster=1 */";
     }
@@ -156,6 +160,7 @@
         return "SELECT * FROM rates WHERE code = '" + batches + "x" + ROWS_PER_MIB + "'" + requestComment();
     }
 
+    /** Reads a whole result. Returns its number of rows. */
     private static int read(FlightSqlClient client, String sql) {
         FlightInfo info = client.execute(sql);
         int rows = 0;
@@ -171,6 +176,7 @@
         }
     }
 
+    /** Compares the throughput of reading a large table through the pooler and directly from the server. */
     private void measureTableThroughput(StandIns standIns, BenchPooler pooler) throws Exception {
         try (FlightSqlClient directClient = connect(standIns.address("s-2").getPort());
                 FlightSqlClient pooledClient = connect(pooler.flightPort)) {
@@ -189,14 +195,16 @@
         }
     }
 
+    /** Reads a table. Returns the seconds it took. */
     private double timeTableRead(FlightSqlClient client) {
         long startNs = System.nanoTime();
         if (read(client, tableQuery(TABLE_MIB)) != TABLE_MIB * ROWS_PER_MIB) {
-            throw new IllegalStateException("a short table");
+            throw new IllegalStateException("the table has missing rows");
         }
         return (System.nanoTime() - startNs) / 1e9;
     }
 
+    /** Measures the latency that the pooler adds to small reads. */
     private void measureSmallReads(StandIns standIns, BenchPooler pooler) throws Exception {
         try (FlightSqlClient directClient = connect(standIns.address("s-2").getPort());
                 FlightSqlClient pooledClient = connect(pooler.flightPort)) {
@@ -225,7 +233,7 @@
         return histogram;
     }
 
-    /** Both fronts before PostgreSQL servers, the pooler on one core: requests a second and its CPU for each. */
+    /** Compares both fronts over PostgreSQL servers with the pooler on one core: request rate and CPU time of a request. */
     private void compareFronts(BenchPooler pooler) throws Exception {
         connect(pooler.flightPort).close();
         double[] rateRatios = new double[rounds];
@@ -247,7 +255,7 @@
                 quantile(pgCpuMs, 0.5) * 1e3);
     }
 
-    /** Requests a second, and milliseconds of the pooler's CPU for each. */
+    /** Runs a load. Returns requests per second and the pooler's CPU time for each request in milliseconds. */
     private double[] measureLoad(BenchPooler pooler, Callable<Clients.Reader> openReader) throws Exception {
         ExecutorService executor = Executors.newFixedThreadPool(LOAD_CLIENTS);
         try {
@@ -283,7 +291,7 @@
         }
     }
 
-    /** Readers that take one batch and then nothing, as many at a time as told; what the pooler holds for them. */
+    /** Measures the pooler's memory while 1, 100 and 1000 streams are open whose clients have stopped reading. */
     private void measureSlowReaders(BenchPooler pooler) throws Exception {
         connect(pooler.flightPort).close();
         Thread.sleep(500);
@@ -324,6 +332,7 @@
         out.println();
     }
 
+    /** Formats the median and, in brackets, the lower and upper quartile. */
     private static String medianAndQuartiles(double[] values) {
         return String.format("%.2f (%.2f to %.2f)", quantile(values, 0.5), quantile(values, 0.25), quantile(values, 0.75));
     }
--- a/app/src/main/java/holdmux/app/bench/PolicyBench.java
+++ b/app/src/main/java/holdmux/app/bench/PolicyBench.java
@@ -14,9 +14,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the fleet's policy costs and how fast it takes hold, on a small fleet of real processes here: the time from a
- * proposal to the last pooler on the new version, the store's part of a request's time (two poolers in turn, one under the
- * store and one under its file alone), and how long one that was stopped for a while takes to catch up.
+ * Measures the fleet policy on a small fleet of local processes: the time from a proposal until the last pooler serves the new
+ * version, the effect of the store on request latency (alternating between a pooler that follows the store and one that reads
+ * its policy from its file), and how long a pooler that was stopped takes to catch up.
  */
 public final class PolicyBench {
     private static final int MEMBERS = 3, FOLLOWERS = 3, CHANGES = 30, WARM_UP_REQUESTS = 2_000, REQUESTS = 1_500, CATCH_UPS = 3;
@@ -25,12 +25,13 @@
     private final int rounds;
     private final PrintStream out;
 
-    /** {@code rounds}: pairs of the comparison of request times. */
+    /** {@code rounds}: measured pairs of the latency comparison. */
     public PolicyBench(int rounds, PrintStream out) {
         this.rounds = rounds;
         this.out = out;
     }
 
+    /** Runs all measurements. Returns exit code 0. */
     public int run() throws Exception {
         PolicyFleet fleet = new PolicyFleet(MEMBERS, FOLLOWERS, 60_000);
         try (fleet) {
@@ -45,6 +46,7 @@
         return 0;
     }
 
+    /** Measures the time from a proposal until the last pooler serves the new version. */
     private void measurePropagation(PolicyFleet fleet) throws Exception {
         Histogram durationUs = new Histogram(3);
         for (int i = 0; i < CHANGES; i++) {
@@ -58,7 +60,7 @@
                 durationUs.getValueAtPercentile(99) / 1_000, durationUs.getMaxValue() / 1_000);
     }
 
-    /** Ratios of p50 and p99 with the store and without, a pair a round, in an order drawn anew each time. */
+    /** Ratios of p50 and p99 latency with and without the store, one pair per round in random order. */
     private void compareLatency(PolicyFleet fleet) throws Exception {
         PoolerProcess withStore = fleet.follower();
         PoolerProcess withoutStore = fleet.startStandalone();
@@ -83,6 +85,7 @@
                 + medianAndRange(p99Ratios));
     }
 
+    /** Sends reads one after the other. Returns their latencies in microseconds. */
     private static Histogram measureLatency(PoolerProcess pooler, int requests) throws Exception {
         Histogram latencyUs = new Histogram(3);
         try (PgClient client = pooler.connect()) {
@@ -96,12 +99,14 @@
         return latencyUs;
     }
 
+    /** Formats the median and, in brackets, the smallest and largest ratio. */
     private static String medianAndRange(List<Double> ratios) {
         List<Double> sorted = ratios.stream().sorted().toList();
         return String.format("%.3f (%.3f to %.3f)", sorted.get(sorted.size() / 2), sorted.get(0),
                 sorted.get(sorted.size() - 1));
     }
 
+    /** Measures how long a pooler takes to serve the new version after it was stopped for a minute. */
     private void measureCatchUp(PolicyFleet fleet) throws Exception {
         List<Long> durationsMs = new ArrayList<>();
         for (int i = 0; i < CATCH_UPS; i++) {
--- a/app/src/main/java/holdmux/app/demo/Demo.java
+++ b/app/src/main/java/holdmux/app/demo/Demo.java
@@ -28,15 +28,15 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /**
- * The whole of it on one machine: three stand-in servers of each protocol's kind, discovery, a pooler with both fronts,
- * and a small load over both; at the end a table by front and class.
+ * A complete deployment on one machine: three stand-in servers of both protocols, discovery, a pooler with both fronts, and
+ * a small load over each front. Ends with a table of results by front and request class.
  */
 public final class Demo {
     private static final int MEMORY_MB = 512, SOCKETS = 4_096, CLIENTS_PER_FRONT = 4;
     private static final int THINK_TIME_MS = 5;
-    /** Latencies up to a minute, to three digits. */
+    /** Latencies are recorded up to one minute, with three significant digits. */
     private static final long MAX_LATENCY_US = 60_000_000;
-    /** Classes with how many of 100 requests are theirs, as in a quote service on a usual day. */
+    /** Request classes and their share of the load in percent, a typical mix of a quote service. */
     private static final Map<String, Integer> CLASS_PERCENTAGES = new LinkedHashMap<>();
 
     static {
@@ -51,7 +51,7 @@
     private final boolean stay;
     private final PrintStream out;
 
-    /** What came of one class over one front. */
+    /** Outcomes and latencies of one request class over one front. */
     private static final class ClassStats {
         private final Map<Outcome, AtomicLong> outcomes = new EnumMap<>(Outcome.class);
         private final Histogram servedLatencyUs = new ConcurrentHistogram(MAX_LATENCY_US, 3);
@@ -74,14 +74,20 @@
         }
     }
 
-    /** {@code stay}: goes on serving after the load. */
+    /**
+     * Creates a demo.
+     *
+     * @param duration how long the load lasts
+     * @param stay     whether to keep serving after the load
+     * @param out      where results are printed
+     */
     public Demo(Duration duration, boolean stay, PrintStream out) {
         this.duration = duration;
         this.stay = stay;
         this.out = out;
     }
 
-    /** Runs it; the exit code is 0 when every request had its answer, else 1. */
+    /** Runs the demo. Returns exit code 0 if every class sent requests and no write ran more than once, otherwise 1. */
     public int run() throws Exception {
         int pgPort = StandIns.freePort();
         int flightPort = StandIns.freePort();
@@ -110,6 +116,7 @@
         }
     }
 
+    /** Starts a pooler with both fronts in this process and waits until it is ready. */
     private static Pooler pooler(StandIns standIns, int pgPort, int flightPort) throws Exception {
         Path file = Files.createTempFile("holdmux-demo", ".json");
         try {
--- a/app/src/main/java/holdmux/app/demo/FlightQuoteClient.java
+++ b/app/src/main/java/holdmux/app/demo/FlightQuoteClient.java
@@ -9,7 +9,7 @@
 import org.apache.arrow.flight.sql.FlightSqlClient;
 import org.apache.arrow.memory.BufferAllocator;
 
-/** Arrow's own Flight SQL client. */
+/** Sends requests through Arrow's Flight SQL client. */
 final class FlightQuoteClient implements QuoteClient {
     private final FlightSqlClient client;
 
@@ -24,7 +24,7 @@
             FlightInfo info = client.execute(sql);
             try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket())) {
                 while (stream.next()) {
-                    // batch by batch
+                    // reads all batches and discards them
                 }
             }
             return Outcome.SERVED;
--- a/app/src/main/java/holdmux/app/demo/PgClient.java
+++ b/app/src/main/java/holdmux/app/demo/PgClient.java
@@ -11,20 +11,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A client of the PostgreSQL front, as much of one as the demo and the drill need: one simple query at a time. */
+/** A minimal client of the PostgreSQL front, for the test commands: sends one simple query at a time. */
 public final class PgClient implements QuoteClient {
-    /** The name of a row's only column. */
+    /** The key of the value of a row with a single column. */
     public static final String VALUE_COLUMN = "data";
 
     private final Socket socket = new Socket();
     private final DataInputStream in;
     private final DataOutputStream out;
 
+    /** Connects to a local pooler without time-outs. */
     public PgClient(int port) throws IOException {
         this(port, 0);
     }
 
-    /** {@code timeOutMs}: how long a connect or a part of an answer may take; 0 for ever. */
+    /** Connects to a local pooler. {@code timeoutMs} limits the connect and each read of an answer, 0 means no limit. */
     public PgClient(int port, int timeoutMs) throws IOException {
         try {
             socket.connect(new InetSocketAddress("127.0.0.1", port), timeoutMs);
@@ -56,15 +57,18 @@
     }
 
     /**
-     * Asks; the SQLSTATE of an error or "", and into {@code rows} rows of two texts, as SHOW STATS gives, or one of one
-     * under the name {@link #VALUE_COLUMN}.
+     * Sends a query and waits for its answer.
+     *
+     * @param rows receives the rows: with two columns, as of SHOW STATS, the second keyed by the first, with a single
+     *             column its value under {@link #VALUE_COLUMN}
+     * @return the SQLSTATE of an error, or an empty string
      */
     public String query(String sql, Map<String, String> rows) throws IOException {
         send(sql);
         return readResponse(rows);
     }
 
-    /** Asks, and does not wait for the answer. */
+    /** Sends a query without waiting for its answer. */
     public void send(String sql) throws IOException {
         byte[] text = sql.getBytes(StandardCharsets.UTF_8);
         out.writeByte('Q');
@@ -74,6 +78,7 @@
         out.flush();
     }
 
+    /** Reads messages up to ReadyForQuery. Returns the SQLSTATE of an error, or an empty string. */
     private String readResponse(Map<String, String> rows) throws IOException {
         String sqlState = "";
         while (true) {
--- a/app/src/main/java/holdmux/app/demo/QuoteClient.java
+++ b/app/src/main/java/holdmux/app/demo/QuoteClient.java
@@ -1,10 +1,10 @@
 package holdmux.app.demo;
 
-/** One connection of the demo's load, over either front. */
+/** One client connection of the demo's load, over either front. */
 public interface QuoteClient extends AutoCloseable {
-    /** How a request ended for its client. */
+    /** The outcome of a request as its client sees it. */
     enum Outcome { SERVED, REFUSED, FAILED }
 
-    /** Asks, and waits for the one final answer. */
+    /** Sends a request and waits for its final answer. */
     Outcome execute(String sql);
 }
