--- a/app/src/main/java/holdmux/app/bench/FlightBench.java
+++ b/app/src/main/java/holdmux/app/bench/FlightBench.java
@@ -66,7 +66,7 @@
             command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "--add-opens=java.base/java.nio=ALL-UNNAMED", "-XX:+UseSerialGC", "-Xmx512m"));
             if (oneCore) {
-                command.add("-XX:TieredStopAtLevel=1"); // as in deploy/balancer.toml: with a single core, C2 compilation would compete with requests
+                command.add("-XX:TieredStopAtLevel=1"); // as in deploy/balancer.toml: one core has no room for C2
             }
             command.addAll(List.of("-cp",
                     System.getProperty("java.class.path"), "holdmux.app.Main", "serve", "--flight", "127.0.0.1:" + flightPort,
--- a/app/src/main/java/holdmux/app/drill/Audit.java
+++ b/app/src/main/java/holdmux/app/drill/Audit.java
@@ -6,18 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * Judges what poolers were seen to serve under against what was put in force when. No clock and no I/O: all times are the
- * watcher's, in milliseconds. The rules: nobody serves a version before it was asked to be put in force, nor one that was
- * followed by another for longer than the bound and the delay.
+ * Checks the policy versions that poolers were observed to serve against the activations of those versions. Has no clock and
+ * does no I/O: all times are the observer's, in milliseconds. A pooler must not serve a version before its activation was
+ * requested, nor for longer than the staleness bound plus the activation's delay after the next activation.
  */
 final class Audit {
-    /** One look at one pooler: what it said between these two moments. */
+    /** The state that a pooler reported at some moment between the start and the end of one query. */
     record Observation(String pooler, long startMs, long endMs, long version, boolean closed) {}
 
-    /** One activation: asked for, and surely in the log, at the latest, at these moments. */
+    /** An activation: when it was requested, and the time by which it was certainly in the log. */
     private record Change(long version, long askedMs, long doneMs, long delayMs) {}
 
-    /** What was seen longer ago says nothing of now: the pooler may be down. */
+    /** An older observation says nothing about the present, because the pooler may be down. */
     private static final long MAX_OBSERVATION_AGE_MS = 500;
 
     private final long boundMs;
@@ -25,28 +25,32 @@
     private final List<Observation> observations = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
 
+    /** {@code boundMs}: how long a pooler may serve a version that has been superseded. */
     Audit(long boundMs) {
         this.boundMs = boundMs;
     }
 
-    /** Version 0 stands for none: nobody is to serve under it. */
+    /** Records an activation. Version 0 stands for none; no pooler may serve under it. */
     void recordActivation(long version, long askedMs, long doneMs, long delayMs) {
         changes.add(new Change(version, askedMs, doneMs, delayMs));
     }
 
+    /** Records the observation of a pooler. */
     void recordObservation(Observation observation) {
         observations.add(observation);
     }
 
+    /** Records a violation that was found elsewhere, described in words. */
     void recordViolation(String violation) {
         violations.add(violation);
     }
 
+    /** The number of observations recorded. */
     int observationCount() {
         return observations.size();
     }
 
-    /** All that was wrong, in words; judged once every change of which the outcome was unknown has been told. */
+    /** Describes all violations. To be called once the outcome of every activation is known and recorded. */
     List<String> findViolations() {
         List<String> found = new ArrayList<>(violations);
         for (Observation observation : observations) {
@@ -58,12 +62,12 @@
         return found;
     }
 
-    /** Whether the look's version was in force at some moment that the rules let it be served from. */
+    /** Whether some activation of the observed version permits serving it at the time of the observation. */
     private boolean isAllowed(Observation observation) {
         for (int i = 0; i < changes.size(); i++) {
             Change change = changes.get(i);
             boolean started = change.askedMs() <= observation.endMs();
-            // the next change counts from when it was surely in the log
+            // the next activation supersedes this one from when it was certainly in the log
             boolean superseded = i + 1 < changes.size()
                     && observation.startMs() > changes.get(i + 1).doneMs() + boundMs + changes.get(i + 1).delayMs();
             if (change.version() == observation.version() && started && !superseded) {
@@ -73,7 +77,7 @@
         return false;
     }
 
-    /** The longest that two poolers were seen to serve different versions at once, in milliseconds. */
+    /** The longest period during which poolers were observed to serve different versions, in milliseconds. */
     long longestMixedMs() {
         TreeMap<Long, List<Observation>> byTime = new TreeMap<>();
         observations.forEach(observation -> byTime.computeIfAbsent(observation.endMs(), t -> new ArrayList<>()).add(observation));
--- a/app/src/main/java/holdmux/app/drill/PolicyDrill.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyDrill.java
@@ -21,16 +21,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Changes of policy on a small fleet of real processes, members of the store and poolers that follow, with faults between
- * and upon them, watched from outside: no pooler may serve a version that is not in force, or an old one for longer than
- * the bound; members' histories must be equal; requests keep their rules. Deterministic in what it does, not in when the
- * processes come to it.
+ * Changes the policy of a small fleet of processes, members of the store and followers, under injected process and network
+ * faults, and observes it from outside. No pooler may serve a version that is not in force, or a superseded one for longer
+ * than the bound; the members' histories must be equal; no write may run twice, and requests must be answered correctly. The
+ * sequence of actions is determined by the seed, the timing of the processes is not.
  */
 public final class PolicyDrill implements AutoCloseable {
     private static final long BOUND_MS = 5_000, DELAY_MS = 300;
     private static final int OBSERVE_INTERVAL_MS = 40, REQUEST_INTERVAL_MS = 10, MIN_PAUSE_MS = 200, MAX_PAUSE_MS = 2_500;
 
-    /** What a round does while a change is made. */
+    /** The fault that a round injects while the policy changes. */
     enum Scenario {
         NONE, MEMBER_KILLED, TWO_MEMBERS_DOWN, LEADER_ON_SMALL_SIDE, POOLER_STOPPED, RESTART_WAVE, FOLLOWER_CUT, HALF_OPEN,
         RESETS, SLOW, TWO_OPERATORS, KILLED_BETWEEN_COMMIT_AND_ACTIVATION, MAJORITY_LOST, INVALID
@@ -45,16 +45,22 @@
     private final Set<String> stoppedPoolers = ConcurrentHashMap.newKeySet();
     private volatile boolean finished;
     private boolean passed;
-    /** An activation of which nobody told the outcome, 0 for none, and when it was asked for. */
+    /** The version of an activation whose outcome is unknown, 0 for none, and when it was requested. */
     private long unconfirmedVersion, unconfirmedSinceMs;
 
-    /** {@code members}: 3 or 5 poolers that are members of the store; {@code followers}: at least one that only follows. */
+    /**
+     * Creates a fleet; {@link #run} starts it.
+     *
+     * @param members   poolers that are voting members of the store, 3 or 5
+     * @param followers poolers that only follow the store, at least 1
+     * @param out       where results are printed
+     */
     public PolicyDrill(int members, int followers, PrintStream out) throws Exception {
         this.out = out;
         fleet = new PolicyFleet(members, followers, BOUND_MS);
     }
 
-    /** Plays rounds of this seed; the exit code: 0 where no rule was broken. */
+    /** Runs rounds in the order given by the seed. Returns exit code 0 if no rule was violated, otherwise 1. */
     public int run(int rounds, long seed) throws Exception {
         long startMs = nowMs();
         fleet.startAll();
@@ -86,6 +92,7 @@
         return reportResult(rounds, nowMs() - startMs);
     }
 
+    /** Prints the violations and totals. Returns the exit code. */
     private int reportResult(int rounds, long elapsedMs) {
         observations.forEach(audit::recordObservation);
         violations.forEach(audit::recordViolation);
@@ -103,7 +110,7 @@
         return passed ? 0 : 1;
     }
 
-    // ---- A round ----
+    // ---- Rounds ----
 
     private void playRound(Scenario scenario, Random random) throws Exception {
         List<String> shuffled = new ArrayList<>(fleet.poolers.keySet());
@@ -120,7 +127,7 @@
             }
             case TWO_MEMBERS_DOWN -> {
                 fleet.poolers.get(voters.get(0)).kill();
-                fleet.poolers.get(voters.get(voters.size() / 2 - 1)).kill(); // the same one again among three
+                fleet.poolers.get(voters.get(voters.size() / 2 - 1)).kill(); // with three members this is the same one again
                 changePolicy(true);
             }
             case LEADER_ON_SMALL_SIDE -> {
@@ -196,11 +203,11 @@
                     violations.add("an invalid version was kept");
                 }
             }
-            default -> throw new IllegalStateException("no round for " + scenario);
+            default -> throw new IllegalStateException("no round implements " + scenario);
         }
     }
 
-    // ---- Changes ----
+    // ---- Policy changes ----
 
     private void restart(String name) {
         try {
@@ -210,7 +217,7 @@
         }
     }
 
-    /** Proposes and activates a new version; {@code must}: whether the round leaves the store able to. */
+    /** Proposes and activates a new version. {@code mustSucceed}: whether the store can commit in spite of the round's faults. */
     private void changePolicy(boolean mustSucceed) throws InterruptedException {
         try {
             activate(fleet.propose(), mustSucceed);
@@ -221,6 +228,7 @@
         }
     }
 
+    /** Activates a version, retrying if it must succeed. Otherwise {@link #awaitAgreement} finds out the outcome of a failed try. */
     private void activate(long number, boolean mustSucceed) throws InterruptedException {
         long requestedMs = nowMs();
         String lastError = "";
@@ -236,7 +244,7 @@
                 lastError = e.getMessage();
             }
             if (!mustSucceed) {
-                unconfirmedVersion = number; // found out once the faults are gone
+                unconfirmedVersion = number; // looked up once the faults have been removed
                 unconfirmedSinceMs = requestedMs;
                 return;
             }
@@ -244,6 +252,7 @@
         violations.add("version " + number + " could not be put in force: " + lastError);
     }
 
+    /** Two operators propose the same version number at once: exactly one proposal must be accepted. */
     private void proposeConcurrently() throws Exception {
         long newest = fleet.history().newestNumber();
         List<EntryResult> results = Collections.synchronizedList(new ArrayList<>());
@@ -267,6 +276,7 @@
         activate(newest + 1, true);
     }
 
+    /** Waits until the fleet agrees, and records an activation whose outcome was unknown if it took effect. */
     private void awaitAgreement(String step) throws InterruptedException {
         String disagreement = fleet.awaitAgreement();
         if (!disagreement.isEmpty()) {
@@ -285,8 +295,9 @@
         unconfirmedVersion = 0;
     }
 
-    // ---- Watching ----
+    // ---- Observation and load ----
 
+    /** Polls a pooler for its policy version and state until the drill ends. */
     private void observe(PoolerProcess pooler) {
         while (!finished) {
             try (PgClient client = pooler.connect()) {
@@ -299,14 +310,14 @@
                     Thread.sleep(OBSERVE_INTERVAL_MS);
                 }
             } catch (IOException e) {
-                sleep(OBSERVE_INTERVAL_MS); // killed or stopped
+                sleep(OBSERVE_INTERVAL_MS); // the pooler was killed or stopped
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** Reads and writes; the one rule that needs a watch here: a value that comes is the one of this request. */
+    /** Sends reads and writes to a pooler until the drill ends; unexpected errors and missing answers are violations. */
     private void sendRequests(PoolerProcess pooler) {
         long sequence = 0;
         while (!finished) {
@@ -356,7 +367,7 @@
         return PolicyFleet.nowMs();
     }
 
-    /** Ends all processes; their logs stay where a rule was broken. */
+    /** Kills all processes. Their files are kept if a rule was violated. */
     @Override
     public void close() throws Exception {
         finished = true;
--- a/app/src/main/java/holdmux/app/drill/PolicyFleet.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyFleet.java
@@ -27,11 +27,11 @@
 import org.json.JSONObject;
 
 /**
- * A small fleet on loopback: poolers as processes, p1 to pN of them the store's members n1 to nN, stand-in servers, and a
- * relay on each way from a pooler to a member.
+ * A small fleet on loopback: pooler processes, of which p1 to pN run the store's members n1 to nN, stand-in servers, and a
+ * fault-injecting relay for each route from a pooler to another's member.
  */
 public final class PolicyFleet implements AutoCloseable {
-    /** An election, a start on a busy machine: how long the fleet may take to agree. */
+    /** How long the fleet may take to agree, with elections and process starts on a busy machine. */
     static final long AGREEMENT_TIMEOUT_MS = 60_000;
     private static final int CALL_TIMEOUT_MS = 1_000;
 
@@ -39,14 +39,20 @@
     final Members members;
     final StoreClient store;
     final Map<String, PoolerProcess> poolers = new LinkedHashMap<>();
-    /** Ways by who goes and to which member. */
+    /** Relays by the name of the pooler that connects and of the member it connects to. */
     final Map<String, Map<String, FaultRelay>> relays = new HashMap<>();
     private final Path folder;
     private final String settings;
     private final List<PoolerProcess> extraPoolers = new ArrayList<>();
     private long overShareWorth = 1;
 
-    /** {@code boundMs}: how long a pooler may serve what it cannot confirm, whole seconds. */
+    /**
+     * Creates a fleet; {@link #startAll} starts its processes.
+     *
+     * @param voters    poolers that are voting members of the store
+     * @param followers poolers that only follow the store
+     * @param boundMs   how long a pooler may serve under a version that it cannot confirm, in whole seconds
+     */
     public PolicyFleet(int voters, int followers, long boundMs) throws Exception {
         folder = Files.createTempDirectory("holdmux-drill");
         for (String server : List.of("s-1", "s-2", "s-3")) {
@@ -87,7 +93,7 @@
         return new PoolerProcess(name, port, folder.resolve(name), standIns.config(port, 256, 512), flags);
     }
 
-    /** Starts all of them at once and waits until each takes clients. */
+    /** Starts all poolers at once and waits until each accepts clients. */
     public void startAll() throws IOException, InterruptedException {
         for (PoolerProcess pooler : poolers.values()) {
             pooler.start();
@@ -97,14 +103,14 @@
         }
     }
 
-    /** A further pooler before the same servers, told its policy by its own file. */
+    /** Starts another pooler in front of the same servers, which takes its policy from its configuration file. */
     public PoolerProcess startStandalone() throws IOException, InterruptedException {
         PoolerProcess pooler = startExtra("alone" + extraPoolers.size(), List.of());
         pooler.awaitListening();
         return pooler;
     }
 
-    /** Starts a further pooler with these flags; it is in nobody's way and not waited for. */
+    /** Starts another pooler with these flags, without relays and without waiting for it. */
     PoolerProcess startExtra(String name, List<String> flags) throws IOException {
         PoolerProcess pooler = newProcess(name, flags);
         extraPoolers.add(pooler);
@@ -112,29 +118,30 @@
         return pooler;
     }
 
-    /** The members as the poolers were told of them. */
+    /** The members in the form of {@code --store-members}. */
     String memberList() {
         return String.join(",", members.names().stream()
                 .map(name -> name + "=127.0.0.1:" + members.address(name).getPort()).toList());
     }
 
-    /** The last of those that only follow. */
+    /** The last of the poolers that only follow. */
     public PoolerProcess follower() {
         return poolers.get("p" + poolers.size());
     }
 
-    // ---- Changes ----
+    // ---- Policy changes ----
 
-    /** The text of a policy that no version had before. */
+    /** The text of a policy that differs from all earlier versions. */
     String newPolicyText() {
         return new JSONObject().put("settings", new JSONObject(settings).put("over-share-worth", ++overShareWorth)).toString();
     }
 
+    /** The policy history as the store has it. */
     PolicyHistory history() throws IOException {
         return ProtoMapper.toHistory(store.ask(Question.newBuilder().setHistory(Empty.getDefaultInstance()).build()).getHistory());
     }
 
-    /** Keeps a new version; its number. */
+    /** Stores a new version. Returns its number. */
     long propose() throws IOException {
         long newest = history().newestNumber();
         EntryResult result = store.write(new Propose(PolicyVersion.of(newest + 1, newest, newPolicyText(), "drill")));
@@ -144,13 +151,13 @@
         return newest + 1;
     }
 
-    /** Whether it is in force then, by this call or one before that nobody told the outcome of; else why not. */
+    /** Activates a version. Accepted also if it is active already, by an earlier call whose outcome was unknown. */
     EntryResult activate(long number, long delayMs) throws IOException {
         EntryResult result = store.write(new Activate(number, delayMs * 1_000_000, "drill", 0));
         return result.reason().endsWith("in force already") ? new EntryResult(true, "") : result;
     }
 
-    /** Proposes a version and puts it in force as soon as enough members have checked it. */
+    /** Proposes a new version and activates it as soon as a majority of members has checked it. */
     public void changePolicy(long delayMs) throws IOException, InterruptedException {
         long number = propose();
         EntryResult result = activate(number, delayMs);
@@ -164,7 +171,7 @@
 
     // ---- Agreement ----
 
-    /** Waits until every pooler serves what is in force, confirmed, and all members hold one history. */
+    /** Waits until every pooler serves the active version, confirmed, and all members have the same history. */
     public void requireAgreement() throws InterruptedException, IOException {
         String disagreement = awaitAgreement();
         if (!disagreement.isEmpty()) {
@@ -172,7 +179,7 @@
         }
     }
 
-    /** Empty once the fleet agrees, else what still misses after all that time. */
+    /** Waits until the fleet agrees. Returns an empty string, or the remaining disagreement after the time-out. */
     String awaitAgreement() throws InterruptedException {
         String disagreement = "";
         for (long deadlineMs = nowMs() + AGREEMENT_TIMEOUT_MS; nowMs() < deadlineMs; Thread.sleep(10)) {
@@ -188,6 +195,7 @@
         return disagreement;
     }
 
+    /** Describes a difference between members or poolers, empty if the fleet agrees. */
     private String findDisagreement() throws IOException {
         PolicyHistory history = history();
         long active = history.active().map(PolicyHistory.Activation::number).orElse(0L);
@@ -214,6 +222,7 @@
 
     // ---- Faults ----
 
+    /** Whether this pooler runs a member of the store. */
     boolean isVoter(String pooler) {
         return members.names().contains(memberOf(pooler));
     }
@@ -222,7 +231,7 @@
         return "n" + pooler.substring(1);
     }
 
-    /** The pooler whose member leads. */
+    /** The pooler that runs the leader. */
     String leader() throws InterruptedException {
         for (long deadlineMs = nowMs() + AGREEMENT_TIMEOUT_MS; nowMs() < deadlineMs; Thread.sleep(100)) {
             for (String member : members.names()) {
@@ -231,18 +240,19 @@
                         return "p" + member.substring(1);
                     }
                 } catch (IOException e) {
-                    // another one
+                    // ask the next member
                 }
             }
         }
-        throw new IllegalStateException("nobody leads");
+        throw new IllegalStateException("no member is leader");
     }
 
+    /** Sets the mode of all relays from this pooler. */
     void setRelayMode(String pooler, Mode mode) {
         relays.get(pooler).values().forEach(relay -> relay.setMode(mode));
     }
 
-    /** Cuts these off from the members among the others, both ways. */
+    /** Partitions the network: these poolers and their members cannot reach the others, nor the others them. */
     void partition(List<String> minority) {
         relays.forEach((from, poolerRelays) -> poolerRelays.forEach((to, relay) -> {
             boolean crossesPartition = minority.contains(from) != minority.contains("p" + to.substring(1));
@@ -250,7 +260,7 @@
         }));
     }
 
-    /** Lets all pass, and starts whoever is down. */
+    /** Removes all network faults and restarts the poolers that are down. */
     void heal() throws IOException {
         relays.keySet().forEach(pooler -> setRelayMode(pooler, Mode.PASS));
         for (PoolerProcess pooler : poolers.values()) {
@@ -260,15 +270,17 @@
         }
     }
 
+    /** Monotonic time in milliseconds. */
     static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
+    /** The folder of all processes' files. */
     Path folder() {
         return folder;
     }
 
-    /** Ends all processes; their folders stay. */
+    /** Kills all processes. Their files are kept. */
     @Override
     public void close() throws Exception {
         poolers.values().forEach(PoolerProcess::kill);
@@ -282,7 +294,7 @@
         standIns.close();
     }
 
-    /** Removes what the processes left. */
+    /** Deletes the processes' files. */
     public void deleteFiles() throws IOException {
         try (var files = Files.walk(folder)) {
             files.sorted(Collections.reverseOrder()).forEach(file -> file.toFile().delete());
--- a/app/src/main/java/holdmux/app/drill/PoolerProcess.java
+++ b/app/src/main/java/holdmux/app/drill/PoolerProcess.java
@@ -11,22 +11,24 @@
 import java.util.Map;
 import org.json.JSONObject;
 
-/** One pooler of a drill: the program in a process of its own, with a folder that outlives it. */
+/** A pooler running in its own process, with a folder that is kept across restarts. */
 public final class PoolerProcess {
-    /** Any start, on a machine that starts ten at once. */
+    /** Time-out of a start, generous because ten processes may start at once. */
     private static final long START_TIMEOUT_MS = 60_000;
 
+    /** The pooler's name in its configuration. */
     public final String name;
+    /** The port of its PostgreSQL front. */
     public final int port;
     private final Path folder;
     private final List<String> flags;
-    /** What the program is started by, as a shell that sets limits; mostly nothing. */
+    /** Prefix of the command, such as a shell that sets limits; usually empty. */
     private List<String> launcher = List.of();
     private List<String> jvmFlags = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx160m", "-XX:-UsePerfData");
     private final Map<String, String> environment = new HashMap<>();
     private Process process;
 
-    /** {@code flags}: those of {@code serve}; the folder and the configuration are added here. */
+    /** {@code flags}: options of {@code serve}, to which {@link #start} adds the store's folder. */
     public PoolerProcess(String name, int port, Path folder, String config, List<String> flags) throws IOException {
         this.name = name;
         this.port = port;
@@ -35,42 +37,44 @@
         writeConfig(config);
     }
 
-    /** Writes the configuration file anew, for the next start or SIGHUP. */
+    /** Replaces the configuration file, for the next start or SIGHUP. */
     public void writeConfig(String config) throws IOException {
-        // positions of one fleet, seeds of each: the order in which it asks the store follows the seed
+        // positions count from zero-ns, shared by the fleet; the seed differs, as it orders the calls to the store's members
         JSONObject ownConfig = new JSONObject(config).put("name", name).put("seed", Integer.toHexString(name.hashCode()));
         writeRawConfig(ownConfig.toString());
     }
 
-    /** Writes this text as the configuration file, whatever it is. */
+    /** Replaces the configuration file by this text, which may be invalid. */
     public void writeRawConfig(String text) throws IOException {
         Files.writeString(folder.resolve("config.json"), text);
     }
 
-    /** From its next start on one of the shell's limits holds: {@code -f 200} for files of 200 KiB, a disk that fills up. */
+    /** Sets a ulimit from the next start on, for example {@code -f 200} to limit files to 200 blocks, as if the disk were full. */
     public void setUlimit(String limit) {
         launcher = List.of("sh", "-c", "ulimit " + limit + "; exec \"$@\"", "sh");
     }
 
-    /** From its next start on the process has this variable in its environment. */
+    /** Sets an environment variable from the next start on. */
     public void setEnvironment(String variable, String value) {
         environment.put(variable, value);
     }
 
-    /** What it has written to its log. */
+    /** The contents of its log. */
     public String readLog() throws IOException {
         return Files.readString(folder.resolve("log"));
     }
 
-    /** From its next start on the virtual machine has these flags. */
+    /** Replaces the flags of the virtual machine from the next start on. */
     public void setJvmFlags(List<String> flags) {
         jvmFlags = List.copyOf(flags);
     }
 
+    /** The id of the process last started. */
     public long pid() {
         return process.pid();
     }
 
+    /** Starts the process without waiting until it accepts clients. Its log is appended to. */
     public void start() throws IOException {
         List<String> command = new ArrayList<>(launcher);
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -88,11 +92,12 @@
         process = builder.start();
     }
 
+    /** Whether the process is running. */
     public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** kill -9. */
+    /** Kills the process by SIGKILL and waits for its end. */
     public void kill() {
         if (process != null) {
             process.destroyForcibly();
@@ -100,12 +105,12 @@
         }
     }
 
-    /** Sends a signal by its name, as STOP or CONT. */
+    /** Sends a signal by name, for example STOP or CONT. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Waits until it takes clients. */
+    /** Waits until the pooler accepts clients. */
     public void awaitListening() throws InterruptedException, IOException {
         long deadlineNs = System.nanoTime() + START_TIMEOUT_MS * 1_000_000;
         while (System.nanoTime() < deadlineNs && isAlive()) {
@@ -115,10 +120,10 @@
                 Thread.sleep(50);
             }
         }
-        throw new IOException(name + " does not listen: " + Files.readString(folder.resolve("log")));
+        throw new IOException(name + " does not accept clients; its log: " + Files.readString(folder.resolve("log")));
     }
 
-    /** A new connection, on which no answer takes longer than a second. */
+    /** Opens a connection with a time-out of one second for the connect and each read. */
     public PgClient connect() throws IOException {
         return new PgClient(port, 1_000);
     }
--- a/app/src/test/java/holdmux/app/Cli.java
+++ b/app/src/test/java/holdmux/app/Cli.java
@@ -1,9 +1,10 @@
 package holdmux.app;
 
-/** The command line for tests of other packages. */
+/** Gives tests in other packages access to the command line. */
 public final class Cli {
     private Cli() {}
 
+    /** Runs one command. Returns its exit code. */
     public static int run(String... args) {
         return Commands.run(args);
     }
--- a/app/src/test/java/holdmux/app/CommandsTest.java
+++ b/app/src/test/java/holdmux/app/CommandsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Scripts and supervisors act on exit codes: 0 done, 1 a fault, 2 wrong usage. */
+/** Exit codes, on which scripts and supervisors rely: 0 success, 1 failure, 2 invalid usage. */
 class CommandsTest {
     @Test
     void exitCodesDistinguishUsageErrorsFromFailures() {
--- a/app/src/test/java/holdmux/app/drill/AuditTest.java
+++ b/app/src/test/java/holdmux/app/drill/AuditTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The judge of the drill must see each breach, or its yes is worth nothing. */
+/** The drill passes if its audit finds nothing, so the audit must detect every kind of violation. */
 class AuditTest {
     private static Audit audit(Observation... observations) {
         Audit audit = new Audit(1_000);
--- a/app/src/test/java/holdmux/app/drill/DrainUnderFaultsTest.java
+++ b/app/src/test/java/holdmux/app/drill/DrainUnderFaultsTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A pooler in a process of its own behind a discovery with faults: drains hold all the same. */
+/** Drains take effect in a pooler process whose connection to discovery has faults. */
 @Timeout(60)
 class DrainUnderFaultsTest {
-    /** The platform's terms: what discovery has counts as told by then, and the grace after that. */
+    /** A change at discovery must have reached the pooler after the first time; a drain must be in effect after the further grace. */
     private static final long DELIVERY_MS = 6_000, GRACE_MS = 2_000;
     private static final long OBSERVED_MS = 3_000;
     private static final String DRAINING_SERVER = "s-2";
@@ -33,8 +33,8 @@
     private final ExecutorService executor = Executors.newCachedThreadPool();
 
     /**
-     * Answers of discovery that take longer than a call is waited for were never heard: each call was closed with its answer
-     * on its way, and made anew to meet the same end, so that a drain was not told for as long as discovery was slow.
+     * Guards against dropping answers that arrive after the time-out of a discovery call: when each overdue call was closed and
+     * repeated, a drain never reached the pooler while discovery was slow.
      */
     @ParameterizedTest
     @ValueSource(ints = {800, 1_600})
@@ -55,18 +55,18 @@
                     executor.submit(() -> runLoad(pooler, finished));
                     Thread.sleep(1_000);
                     discovery.setDelay(oneWayDelayMs);
-                    Thread.sleep(3_000); // calls that were under way have ended
+                    Thread.sleep(3_000); // calls started before the delay have ended
                     long drainStartNs = System.nanoTime();
                     standIns.setHealth(DRAINING_SERVER, "draining");
                     Thread.sleep(DELIVERY_MS + GRACE_MS + OBSERVED_MS);
                     finished.set(true);
                     List<Arrival> arrivals = standIns.group().arrivals();
                     assertTrue(arrivals.stream().anyMatch(a -> a.server().equals(DRAINING_SERVER) && a.atNs() < drainStartNs),
-                            "it was in use");
+                            "the server received requests before the drain");
                     long graceEndNs = drainStartNs + (DELIVERY_MS + GRACE_MS) * 1_000_000;
-                    assertTrue(arrivals.stream().anyMatch(a -> a.atNs() > graceEndNs), "the load goes on");
+                    assertTrue(arrivals.stream().anyMatch(a -> a.atNs() > graceEndNs), "other servers receive requests after the grace");
                     assertEquals(0, arrivals.stream().filter(a -> a.server().equals(DRAINING_SERVER) && a.atNs() > graceEndNs).count(),
-                            "requests sent to a draining server after the grace");
+                            "requests sent to the draining server after the grace");
                 } finally {
                     finished.set(true);
                     pooler.kill();
--- a/app/src/test/java/holdmux/app/drill/PlatformTest.java
+++ b/app/src/test/java/holdmux/app/drill/PlatformTest.java
@@ -36,11 +36,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program by the flags of the platform's deploy file and within the platform's limits. */
+/** A pooler process with the flags of deploy/balancer.toml, within the descriptor and memory limits of a deployment. */
 @Timeout(120)
 class PlatformTest {
     private static final int SERVERS = 1_024, SERVERS_PER_GROUP = 6, MEMORY_MB = 192, SOCKETS = 1_024, CLIENTS = 8, REQUESTS = 300;
-    /** More than a pooler may hold: half of its descriptors are for clients. */
+    /** More than a pooler accepts: half of its descriptors are reserved for clients. */
     private static final int IDLE_CLIENTS = 700;
     private static final long TIMEOUT_NS = 10_000_000_000L, DELIVERY_NS = 6_000_000_000L;
 
@@ -61,7 +61,7 @@
         startPooler(config -> { });
     }
 
-    /** {@code change}: what this pooler is told otherwise. */
+    /** {@code customizer}: changes the configuration before the start. */
     private void startPooler(Consumer<JSONObject> customizer) throws Exception {
         int port = StandIns.freePort();
         JSONObject config = new JSONObject(standIns.config(port, MEMORY_MB, SOCKETS));
@@ -82,7 +82,7 @@
         standIns.close();
     }
 
-    /** Guards against caps, threads, buffers or descriptors sized for a small fleet, and against losing what was taken. */
+    /** Guards against caps, threads, buffers or descriptors sized for a small fleet, and against losing accepted requests. */
     @Test
     void thousandServersAreServedWithinTheLimitsWhileTheListChanges() throws Exception {
         listServers(2, 1, "up");
@@ -122,7 +122,7 @@
             try (PgClient client = pooler.connect()) {
                 client.query("SHOW STATS", counters);
             } catch (IOException e) {
-                assertTrue(System.nanoTime() < deadlineNs, "turned away in a crowd, time and again: " + e);
+                assertTrue(System.nanoTime() < deadlineNs, "the pooler kept refusing connections: " + e);
                 Thread.sleep(50);
             }
         }
@@ -134,10 +134,10 @@
         while (pooler.isAlive() && System.nanoTime() < deadlineNs) {
             Thread.sleep(10);
         }
-        assertFalse(pooler.isAlive(), "it does not end");
+        assertFalse(pooler.isAlive(), "the pooler does not exit");
     }
 
-    /** Lists every so many servers from one on: the first of each group is played by the primary, the others by a replica. */
+    /** Lists every {@code step}th server: the stand-in primary backs the first of each group, a stand-in replica the others. */
     private void listServers(int first, int step, String health) {
         for (int i = first; i < SERVERS; i += step) {
             standIns.addAlias("s-of-a-large-fleet-" + i, i % SERVERS_PER_GROUP == 0 ? "s-1" : "s-2", 1 + i / SERVERS_PER_GROUP, health);
@@ -162,8 +162,8 @@
     }
 
     /**
-     * What was taken before SIGTERM and what clients send on open connections after it has its own answer, though the
-     * servers hang to the end: the process ended 3.5 s after SIGTERM, whatever was open, and its clients saw a close.
+     * Requests accepted before SIGTERM, or sent on open connections after it, are answered even if the servers hang. Guards
+     * against a process that exited 3.5 s after SIGTERM and closed its clients' connections without an answer.
      */
     @Test
     void requestsToHungServersAreAnsweredBeforeExit() throws Exception {
@@ -179,24 +179,24 @@
         }
         pooler.signal("TERM");
         for (int i = 2; i < 5; i++) {
-            Thread.sleep(900); // the last of them 2.7 s after SIGTERM, with 1.5 s to wait
+            Thread.sleep(900); // the last is sent 2.7 s after SIGTERM with a deadline of 1.5 s
             answers.add(queryHungServers(clients.get(i), "r" + i));
         }
-        assertEquals("08007", answers.get(0).get(), "the write may have run");
+        assertEquals("08007", answers.get(0).get(), "the outcome of the write is unknown");
         for (Future<String> read : answers.subList(1, answers.size())) {
             assertTrue(List.of("53300", "57P03").contains(read.get()), read.get());
         }
         awaitExit();
     }
 
-    /** Asks for what every server hangs on, a write where the id says so; the SQLSTATE of its answer. */
+    /** Sends a request on which every server hangs, a write if the id is "w". Returns the SQLSTATE of its answer. */
     private Future<String> queryHungServers(PgClient client, String id) {
         standIns.group().planFaults(id, Collections.nCopies(6, Fault.of(Fault.Kind.SILENT, Fault.Phase.AFTER_RUN)).toArray(Fault[]::new));
         Callable<String> query = () -> client.query(sql(id.equals("w"), id, 1), new HashMap<>());
         return executor.submit(query);
     }
 
-    /** However many idle clients come while discovery is down: its connection has a descriptor when it is back. */
+    /** Idle clients that connect while discovery is down must not use up the descriptor for its connection. */
     @Test
     void discoveryReconnectsWhenIdleClientsFillThePooler() throws Exception {
         InetSocketAddress agent = Config.address(new JSONObject(standIns.config(1, 1, 1)).getString("discovery"));
@@ -207,12 +207,12 @@
             for (int i = 0; i < IDLE_CLIENTS; i++) {
                 idleClients.add(new Socket("127.0.0.1", pooler.port));
             }
-            assertEquals(1, readCounter("lists_taken"), "the one it was given at its start");
+            assertEquals(1, readCounter("lists_taken"), "only the list taken at the start");
             standIns.setHealth("s-2", "draining");
             discovery.setMode(FaultRelay.Mode.PASS);
             long deadlineNs = System.nanoTime() + DELIVERY_NS;
             while (readCounter("lists_taken") <= 1) {
-                assertTrue(System.nanoTime() < deadlineNs, "what discovery has counts as told by now");
+                assertTrue(System.nanoTime() < deadlineNs, "the new list did not reach the pooler in time");
                 Thread.sleep(100);
             }
         } finally {
@@ -222,7 +222,7 @@
         }
     }
 
-    /** Nothing is fitted to one customer: another one's names and figures, none of them the same, are served alike. */
+    /** Guards against code fitted to one deployment's settings: all names and values differ, and requests are still served. */
     @Test
     void settingsWithEveryNameAndValueChangedAreServed() throws Exception {
         startPooler(config -> {
@@ -248,7 +248,7 @@
                 String sql = sql(i == 4, "o" + i, 1).replaceAll("c=[a-z-]+,d=\\d+", "c=kind-" + i + ",d=650");
                 assertEquals("", client.query(sql, new HashMap<>()), sql);
             }
-            assertEquals("22023", client.query(sql(false, "old", 1), new HashMap<>()), "a class of the other customer");
+            assertEquals("22023", client.query(sql(false, "old", 1), new HashMap<>()), "a class of the original settings");
         }
     }
 }
--- a/app/src/test/java/holdmux/app/drill/PolicyCommandsTest.java
+++ b/app/src/test/java/holdmux/app/drill/PolicyCommandsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' commands against members and a follower in processes of their own. */
+/** The policy and store commands against member and follower processes. */
 @Timeout(200)
 class PolicyCommandsTest {
     private static final long BOUND_MS = 10_000;
@@ -44,7 +44,7 @@
         fleet.deleteFiles();
     }
 
-    /** What the command said; its exit code must be this one. */
+    /** Runs a command and checks its exit code. Returns its standard output. */
     private String run(int expectedExitCode, String... args) {
         ByteArrayOutputStream captured = new ByteArrayOutputStream();
         PrintStream out = System.out;
@@ -90,11 +90,11 @@
         }
     }
 
-    /** From a new store to a roll-back, and members that come and go; each command says what it did. */
+    /** A new store, policy changes up to a rollback, and changes of members; every command reports what it did. */
     @Test
     void policyIsProposedActivatedShownAndRolledBack() throws Exception {
         fleet.startAll();
-        assertEquals("57P03", read(fleet.follower()), "closed until a version is in force");
+        assertEquals("57P03", read(fleet.follower()), "requests are refused until a version is in force");
         String wholeConfig = writeFile("config.json", fleet.standIns.config(1, 256, 512));
         assertTrue(runPolicy(0, "policy", "propose", wholeConfig, "--activate", "--delay", "0ms").contains("version 1 is in force"));
         fleet.requireAgreement();
@@ -104,7 +104,7 @@
         assertTrue(runPolicy(1, "policy", "propose", nextPolicy, "--based-on", "1").contains("refused: version 2 cannot follow 2"));
         assertTrue(runPolicy(0, "policy", "diff", "1", "2").contains("settings.allowed.may-duplicate: true -> false"));
         fleet.requireAgreement();
-        assertEquals("1", stats(fleet.follower()).get("policy_version"), "kept is not in force");
+        assertEquals("1", stats(fleet.follower()).get("policy_version"), "a stored version is not in force");
         assertTrue(runPolicy(0, "policy", "activate", "2", "--delay", "200ms").contains("version 2 is in force"));
         fleet.requireAgreement();
         assertTrue(runPolicy(1, "policy", "activate", "2").contains("in force already"));
@@ -115,7 +115,8 @@
         assertTrue(status.contains("in force: version 1") && status.lines().filter(l -> l.matches("p[1-4] .*version 1,.*"))
                 .count() == 4, status);
         assertTrue(runPolicy(0, "policy", "history").contains("version 2 ") && runPolicy(0, "policy", "show", "2").contains("class"));
-        assertTrue(runPolicy(1, "policy", "propose", writeFile("bad.json", "{\"settings\":{}}")).isEmpty(), "said on standard error");
+        assertTrue(runPolicy(1, "policy", "propose", writeFile("bad.json", "{\"settings\":{}}")).isEmpty(),
+                "the error goes to standard error");
 
         String n4 = "n4=127.0.0.1:" + StandIns.freePort();
         fleet.startExtra("p5", List.of("--store-members", fleet.memberList(), "--store-id", "n4", "--store-listen", n4.substring(3)))
@@ -126,12 +127,12 @@
         fleet.poolers.get("p1").kill();
         for (long deadlineMs = PolicyFleet.nowMs() + PolicyFleet.AGREEMENT_TIMEOUT_MS; Cli.run(withMembers("store", "status")) != 0;
                 Thread.sleep(100)) {
-            assertTrue(PolicyFleet.nowMs() < deadlineMs, "two of three members are up, and none leads");
+            assertTrue(PolicyFleet.nowMs() < deadlineMs, "no leader although two of three members are up");
         }
         assertTrue(runPolicy(0, "policy", "activate", "2", "--delay", "0ms").contains("version 2 is in force"));
     }
 
-    /** Cut off, a pooler serves on and says so, is closed at the bound, and opens again by itself. */
+    /** An isolated pooler keeps serving its last version, refuses requests past the bound, and recovers without intervention. */
     @Test
     void isolatedPoolerClosesAtTheBoundAndReopens() throws Exception {
         fleet.startAll();
@@ -141,10 +142,10 @@
         fleet.setRelayMode(isolated.name, Mode.SILENT);
         fleet.changePolicy(0);
         assertEquals("", read(isolated));
-        assertEquals("1", stats(isolated).get("policy_version"), "serves its last good version");
+        assertEquals("1", stats(isolated).get("policy_version"), "keeps its last confirmed version");
         for (long deadlineMs = PolicyFleet.nowMs() + 3 * BOUND_MS; !stats(isolated).get("policy_state").equals("closed");
                 Thread.sleep(20)) {
-            assertTrue(PolicyFleet.nowMs() < deadlineMs, "not closed past the bound");
+            assertTrue(PolicyFleet.nowMs() < deadlineMs, "still open past the bound");
         }
         assertEquals("57P03", read(isolated));
         fleet.setRelayMode(isolated.name, Mode.PASS);
@@ -153,7 +154,7 @@
         assertEquals("", read(isolated));
     }
 
-    /** A member whose disk is full takes no part; its pooler serves on under what the others put in force. */
+    /** A member whose disk is full drops out of the store; its pooler keeps following the versions that the others activate. */
     @Test
     void memberWithAFullDiskDoesNotAffectOthers() throws Exception {
         fleet.poolers.get("p3").setUlimit("-f 200");
@@ -166,7 +167,7 @@
         }
         for (long deadlineMs = PolicyFleet.nowMs() + PolicyFleet.AGREEMENT_TIMEOUT_MS; !stats(fleet.poolers.get("p3")).get("policy_version")
                 .equals("7"); Thread.sleep(20)) {
-            assertTrue(PolicyFleet.nowMs() < deadlineMs, "the pooler beside the full disk is not told");
+            assertTrue(PolicyFleet.nowMs() < deadlineMs, "the pooler with the full disk does not follow the store");
         }
         assertEquals("", read(fleet.poolers.get("p3")));
         String log = Files.readString(fleet.folder().resolve("p3").resolve("log"));
--- a/app/src/test/java/holdmux/app/drill/PolicyDrillTest.java
+++ b/app/src/test/java/holdmux/app/drill/PolicyDrillTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Ten rounds of the drill on ten processes: guards against a version that is served before it is in force, or after it was
- * followed for longer than the bound, against members that part, and against requests that break their rules at a switch.
- * {@code holdmux drill --rounds 200} is the long one.
+ * Ten rounds of the drill on ten processes. Guards against versions served before they are in force or longer than the bound
+ * after they were superseded, against members whose histories diverge, and against wrong answers or repeated writes at a switch.
+ * {@code holdmux drill --rounds 200} is the long run.
  */
 class PolicyDrillTest {
     @Test
--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Lays the kit's companion files beside each variant of a site (deploy/sites/README.md); they stay out of the repository.
+# Copies the kit's companion files into each site variant's folder (see deploy/sites/README.md). They are ignored by git.
 # usage: deploy/sites/lay.sh KIT/sites
 set -eu
 from=${1:?usage: deploy/sites/lay.sh KIT/sites}
