--- a/app/src/main/java/holdmux/app/Commands.java
+++ b/app/src/main/java/holdmux/app/Commands.java
@@ -189,7 +189,7 @@
         @Override
         public Duration convert(String text) {
             if (!text.matches("[0-9]{1,6}(ms|s|m)")) {
-                throw new TypeConversionException("invalid duration \"" + text + "\", expected a number followed by ms, s or m");
+                throw new TypeConversionException("invalid duration, expected a number followed by ms, s or m: " + text);
             }
             long amount = Long.parseLong(text.replaceAll("[a-z]", ""));
             return text.endsWith("ms") ? Duration.ofMillis(amount)
--- a/app/src/main/java/holdmux/app/StoreCommands.java
+++ b/app/src/main/java/holdmux/app/StoreCommands.java
@@ -43,7 +43,7 @@
     private static TreeSet<String> currentMembers(StoreClient store) throws IOException {
         return memberStatuses(store, false).stream().filter(s -> s.role().equals("leader")).findFirst()
                 .map(s -> new TreeSet<>(s.members()))
-                .orElseThrow(() -> new IOException("the store has no leader; a majority of its members may be down"));
+                .orElseThrow(() -> new IOException("the store has no leader, as when no majority of its members is up"));
     }
 
     /** Replaces the members and prints the new list. */
--- a/app/src/main/java/holdmux/app/bench/FlightBench.java
+++ b/app/src/main/java/holdmux/app/bench/FlightBench.java
@@ -291,7 +291,7 @@
         }
     }
 
-    /** Measures the pooler's memory while 1, 100 and 1000 streams are open whose clients have stopped reading. */
+    /** Measures the pooler's memory while 1, 100 and 1000 streams are open whose clients stop reading after one batch. */
     private void measureSlowReaders(BenchPooler pooler) throws Exception {
         connect(pooler.flightPort).close();
         Thread.sleep(500);
