--- a/app/src/main/java/holdmux/app/drill/PoolerProcess.java
+++ b/app/src/main/java/holdmux/app/drill/PoolerProcess.java
@@ -34,18 +34,18 @@
         this.port = port;
         this.folder = Files.createDirectories(folder);
         this.flags = flags;
-        writeConfig(config);
+        configure(config);
     }
 
     /** Replaces the configuration file, for the next start or SIGHUP. */
-    public void writeConfig(String config) throws IOException {
+    public void configure(String config) throws IOException {
         // positions count from zero-ns, shared by the fleet; the seed differs, as it orders the calls to the store's members
         JSONObject ownConfig = new JSONObject(config).put("name", name).put("seed", Integer.toHexString(name.hashCode()));
-        writeRawConfig(ownConfig.toString());
+        configureRaw(ownConfig.toString());
     }
 
     /** Replaces the configuration file by this text, which may be invalid. */
-    public void writeRawConfig(String text) throws IOException {
+    public void configureRaw(String text) throws IOException {
         Files.writeString(folder.resolve("config.json"), text);
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The contents of its log. */
-    public String readLog() throws IOException {
+    public String log() throws IOException {
         return Files.readString(folder.resolve("log"));
     }
 
--- a/app/src/main/java/holdmux/app/soak/DrainScenario.java
+++ b/app/src/main/java/holdmux/app/soak/DrainScenario.java
@@ -230,7 +230,7 @@
         pooler.kill();
         if (fault == FaultType.OLD_ENVIRONMENT) {
             pooler.setEnvironment("BALANCER_DISCOVERY", config.getString("discovery"));
-            pooler.writeConfig(config.put("discovery", address(secondAgent)).toString());
+            pooler.configure(config.put("discovery", address(secondAgent)).toString());
             standIns.agent().retire(0);
         } else {
             standIns.agent().inject(DiscoveryFault.SILENT_CALLS);
@@ -259,16 +259,16 @@
         String fullText = config.put("discovery", address(secondAgent)).toString();
         secondAgent.ignoreNextCalls(IGNORED_CALLS_AFTER_MOVE);
         if (writeHalfFirst) {
-            pooler.writeRawConfig(fullText.substring(0, fullText.length() / 2));
+            pooler.configureRaw(fullText.substring(0, fullText.length() / 2));
         } else {
-            pooler.writeConfig(fullText);
+            pooler.configure(fullText);
         }
         standIns.agent().retire(OLD_AGENT_CLOSE_DELAY_MS);
         long signalledAt = System.nanoTime();
         pooler.signal("HUP");
         if (writeHalfFirst) {
             Thread.sleep(FILE_COMPLETED_AFTER_MS);
-            pooler.writeConfig(fullText);
+            pooler.configure(fullText);
         }
         return signalledAt + RELOAD_ALLOWANCE_MS * NANOS_PER_MS;
     }
--- a/app/src/main/java/holdmux/app/soak/FaultSoak.java
+++ b/app/src/main/java/holdmux/app/soak/FaultSoak.java
@@ -368,13 +368,13 @@
     private void checkPoolers() throws Exception {
         for (SoakPooler pooler : poolers) {
             if (!pooler.process().isAlive()) {
-                audit.broken("crash: " + pooler.name + ": " + pooler.process().readLog());
+                audit.broken("crash: " + pooler.name + ": " + pooler.process().log());
                 continue;
             }
             Map<String, String> counters = pooler.counters();
             ZERO_COUNTERS.stream().filter(name -> !"0".equals(counters.get(name)))
                     .forEach(name -> audit.broken(pooler.name + ": " + name + "=" + counters.get(name)));
-            pooler.process().readLog().lines().filter(line -> line.contains("rule broken"))
+            pooler.process().log().lines().filter(line -> line.contains("rule broken"))
                     .forEach(line -> audit.broken(pooler.name + ": " + line));
         }
     }
--- a/app/src/main/java/holdmux/app/soak/SoakPooler.java
+++ b/app/src/main/java/holdmux/app/soak/SoakPooler.java
@@ -130,7 +130,7 @@
     /** Names the other way to discovery and tells the process by SIGHUP. */
     synchronized void reloadWithOtherRelay() throws IOException, InterruptedException {
         discoveryRelay[1 - activeRelay].setMode(FaultRelay.Mode.PASS);
-        process.writeConfig(selectRelay(1 - activeRelay));
+        process.configure(selectRelay(1 - activeRelay));
         process.signal("HUP");
     }
 
