--- a/app/src/main/java/holdmux/app/bench/Clients.java
+++ b/app/src/main/java/holdmux/app/bench/Clients.java
@@ -5,26 +5,28 @@
 import org.apache.arrow.flight.FlightStream;
 import org.apache.arrow.flight.sql.FlightSqlClient;
 
-/** The benchmark's connections, a common form over both fronts; a request that is not served ends the run. */
+/** The benchmark's client connections over both fronts. A request that is not served ends the run. */
 final class Clients {
     private Clients() {}
 
-    /** One connection. */
+    /** A connection that sends reads. */
     interface Reader extends AutoCloseable {
+        /** Sends a read and waits for its whole answer. */
         void read(String sql) throws Exception;
     }
 
-    static final class Pg implements Reader {
+    /** Reads over the PostgreSQL front. */
+    static final class PgReader implements Reader {
         private final PgClient client;
 
-        Pg(int port) throws Exception {
+        PgReader(int port) throws Exception {
             client = new PgClient(port);
         }
 
         @Override
         public void read(String sql) {
-            if (client.ask(sql) != QuoteClient.Ending.SERVED) {
-                throw new IllegalStateException("not served");
+            if (client.execute(sql) != QuoteClient.Outcome.SERVED) {
+                throw new IllegalStateException("the pooler did not serve a request");
             }
         }
 
@@ -34,10 +36,11 @@
         }
     }
 
-    static final class Flight implements Reader {
+    /** Reads over the Flight SQL front. */
+    static final class FlightReader implements Reader {
         private final FlightSqlClient client;
 
-        Flight(FlightSqlClient client) {
+        FlightReader(FlightSqlClient client) {
             this.client = client;
         }
 
@@ -45,7 +48,7 @@
         public void read(String sql) throws Exception {
             try (FlightStream stream = client.getStream(client.execute(sql).getEndpoints().get(0).getTicket())) {
                 while (stream.next()) {
-                    // all of it
+                    // reads all batches and discards them
                 }
             }
         }
--- a/app/src/main/java/holdmux/app/soak/DrainScenario.java
+++ b/app/src/main/java/holdmux/app/soak/DrainScenario.java
@@ -242,7 +242,7 @@
     private long restartProcess(FaultType fault) throws Exception {
         pooler.kill();
         if (fault == FaultType.OLD_ENVIRONMENT) {
-            pooler.environment("BALANCER_DISCOVERY", config.getString("discovery"));
+            pooler.setEnvironment("BALANCER_DISCOVERY", config.getString("discovery"));
             pooler.configure(config.put("discovery", address(secondAgent)).toString());
             standIns.agent().retire(0);
         } else {
--- a/app/src/main/java/holdmux/app/soak/FaultSoak.java
+++ b/app/src/main/java/holdmux/app/soak/FaultSoak.java
@@ -125,8 +125,8 @@
             JSONObject config = new JSONObject(standIns.config(port, MEMORY_MB, SOCKETS));
             SoakPooler pooler = new SoakPooler("p" + i, port, folder, config.toString(), standIns.addAgent());
             if (shim != null) {
-                pooler.process().environment("LD_PRELOAD", shim.toString());
-                pooler.process().environment("SYSCALL_FAULTS_SEED", Long.toString(seed * poolerCount + i));
+                pooler.process().setEnvironment("LD_PRELOAD", shim.toString());
+                pooler.process().setEnvironment("SYSCALL_FAULTS_SEED", Long.toString(seed * poolerCount + i));
             }
             poolers.add(pooler);
             starts.add(threads.submit(startTask(pooler)));
@@ -301,7 +301,7 @@
         pooler.setCrowded(true);
         try {
             for (int i = 0; i < IDLE_CLIENTS; i++) {
-                clients.add(pooler.process().talk());
+                clients.add(pooler.process().connect());
             }
         } catch (IOException e) {
             // rejected: the limit is reached
--- a/app/src/main/java/holdmux/app/soak/SoakPooler.java
+++ b/app/src/main/java/holdmux/app/soak/SoakPooler.java
@@ -140,7 +140,7 @@
     Map<String, String> counters() throws IOException, InterruptedException {
         Map<String, String> counters = new HashMap<>();
         for (int i = 0; counters.isEmpty(); i++) {
-            try (PgClient client = process.talk()) {
+            try (PgClient client = process.connect()) {
                 client.query("SHOW STATS", counters);
             } catch (IOException e) {
                 if (i == MAX_STATS_RETRIES) {
--- a/app/src/test/java/holdmux/app/CommandsTest.java
+++ b/app/src/test/java/holdmux/app/CommandsTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Scripts and supervisors act on exit codes: 0 done, 1 a fault, 2 wrong usage. */
+/** Exit codes, on which scripts and supervisors rely: 0 success, 1 failure, 2 invalid usage. */
 class CommandsTest {
     @Test
-    void exitCodesTellUsageFromFaults() {
+    void exitCodesDistinguishUsageErrorsFromFailures() {
         assertEquals(0, Commands.run("version"));
         assertEquals(0, Commands.run("help", "serve"));
         assertEquals(2, Commands.run());
