--- a/flight/src/main/java/holdmux/flight/DoGetResponder.java
+++ b/flight/src/main/java/holdmux/flight/DoGetResponder.java
@@ -1,12 +1,12 @@
 package holdmux.flight;
 
 import holdmux.core.Balancer;
-import holdmux.core.ScalarResult;
-import holdmux.core.Responder;
 import holdmux.core.Counters;
 import holdmux.core.Counters.Counter;
-import holdmux.core.UpdateResult;
 import holdmux.core.QueryResult;
+import holdmux.core.Responder;
+import holdmux.core.ScalarResult;
+import holdmux.core.UpdateResult;
 import io.grpc.stub.ServerCallStreamObserver;
 import java.io.IOException;
 import java.util.List;
--- a/flight/src/main/java/holdmux/flight/DoPutResponder.java
+++ b/flight/src/main/java/holdmux/flight/DoPutResponder.java
@@ -1,8 +1,8 @@
 package holdmux.flight;
 
+import holdmux.core.QueryResult;
 import holdmux.core.Responder;
 import holdmux.core.UpdateResult;
-import holdmux.core.QueryResult;
 import io.grpc.stub.ServerCallStreamObserver;
 import java.io.IOException;
 import org.apache.arrow.flight.impl.Flight.PutResult;
--- a/flight/src/main/java/holdmux/flight/FlightExtension.java
+++ b/flight/src/main/java/holdmux/flight/FlightExtension.java
@@ -1,7 +1,7 @@
 package holdmux.flight;
 
-import holdmux.core.Front;
 import holdmux.core.Extension;
+import holdmux.core.Front;
 import holdmux.core.Services;
 import holdmux.core.Upstream;
 import io.netty.channel.EventLoopGroup;
--- a/flight/src/main/java/holdmux/flight/RequestAttributes.java
+++ b/flight/src/main/java/holdmux/flight/RequestAttributes.java
@@ -2,10 +2,10 @@
 
 import holdmux.core.Admission;
 import holdmux.core.Clock;
+import holdmux.statement.ChunkedText;
 import holdmux.statement.SqlState;
 import holdmux.statement.Statement;
 import holdmux.statement.StatementException;
-import holdmux.statement.ChunkedText;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/pooler/src/main/java/holdmux/pg/ClientOutput.java
+++ b/pooler/src/main/java/holdmux/pg/ClientOutput.java
@@ -1,9 +1,9 @@
 package holdmux.pg;
 
-import holdmux.core.ScalarResult;
 import holdmux.core.Clock;
 import holdmux.core.Counters;
 import holdmux.core.Deadlines;
+import holdmux.core.ScalarResult;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
--- a/standins/src/main/java/holdmux/standins/FlightQuoteServer.java
+++ b/standins/src/main/java/holdmux/standins/FlightQuoteServer.java
@@ -1,8 +1,8 @@
 package holdmux.standins;
 
 import com.google.protobuf.Any;
-import holdmux.standins.QuoteGroup.Statement;
 import holdmux.standins.QuoteGroup.Member;
+import holdmux.standins.QuoteGroup.Statement;
 import io.grpc.ForwardingServerCall.SimpleForwardingServerCall;
 import io.grpc.ForwardingServerCallListener.SimpleForwardingServerCallListener;
 import io.grpc.Grpc;
--- a/standins/src/main/java/holdmux/standins/PgQuoteServer.java
+++ b/standins/src/main/java/holdmux/standins/PgQuoteServer.java
@@ -1,7 +1,7 @@
 package holdmux.standins;
 
-import holdmux.standins.QuoteGroup.Statement;
 import holdmux.standins.QuoteGroup.Member;
+import holdmux.standins.QuoteGroup.Statement;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
