--- a/app/src/main/java/holdmux/app/drill/Audit.java
+++ b/app/src/main/java/holdmux/app/drill/Audit.java
@@ -40,7 +40,7 @@
         observations.add(observation);
     }
 
-    /** Records a violation that was found elsewhere, described in words. */
+    /** Records a violation that was found elsewhere, described as text. */
     void recordViolation(String violation) {
         violations.add(violation);
     }
--- a/app/src/main/java/holdmux/app/drill/PolicyDrill.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyDrill.java
@@ -217,7 +217,7 @@
         }
     }
 
-    /** Proposes and activates a new version. {@code mustSucceed}: whether the store can commit in spite of the round's faults. */
+    /** Proposes and activates a new version. {@code mustSucceed}: whether the store can commit despite the round's faults. */
     private void changePolicy(boolean mustSucceed) throws InterruptedException {
         try {
             activate(fleet.propose(), mustSucceed);
--- a/app/src/main/java/holdmux/app/drill/PolicyFleet.java
+++ b/app/src/main/java/holdmux/app/drill/PolicyFleet.java
@@ -240,7 +240,7 @@
                         return "p" + member.substring(1);
                     }
                 } catch (IOException e) {
-                    // ask the next member
+                    // try the next member
                 }
             }
         }
--- a/app/src/main/java/holdmux/app/soak/DeliveryTimes.java
+++ b/app/src/main/java/holdmux/app/soak/DeliveryTimes.java
@@ -5,7 +5,7 @@
 
 /**
  * Computes when a change of the server list counts as delivered to a pooler, from what was done to its agent, its
- * configuration and its process. Lists are pushed: what the agent knows counts as delivered at once, to a new process at its
+ * configuration and its process. Lists are pushed: what the agent knows counts as delivered immediately, to a new process at its
  * start, and to a process whose discovery is moved by SIGHUP 4 s later. A change during a discovery outage reaches the agent
  * at the end of the outage. Reads no clock: all times are {@link System#nanoTime} values of the driver.
  */
--- a/app/src/main/java/holdmux/app/soak/FaultSoak.java
+++ b/app/src/main/java/holdmux/app/soak/FaultSoak.java
@@ -25,7 +25,7 @@
 import org.json.JSONObject;
 
 /**
- * A randomized soak test: pooler processes with clients, and faults drawn from a seed that overlap in time. They hit discovery,
+ * A randomized soak test: pooler processes with clients, and faults drawn from a seed that overlap in time. They affect discovery,
  * servers, poolers, requests and, with the LD_PRELOAD shim, the poolers' system calls. {@link SoakAudit} is the oracle.
  */
 public final class FaultSoak implements AutoCloseable {
--- a/app/src/test/java/holdmux/app/soak/DrainScenarioTest.java
+++ b/app/src/test/java/holdmux/app/soak/DrainScenarioTest.java
@@ -22,7 +22,7 @@
 
 /**
  * Runs {@link DrainScenario} with each fault alone and with pairs of faults, on real processes: a pooler that misses the drain in
- * a discovery answer, or forgets it, sends requests to the draining server after the grace period.
+ * a discovery answer, or loses it, sends requests to the draining server after the grace period.
  */
 class DrainScenarioTest {
     /** Scenarios run in parallel: each is a process that mostly waits. */
--- a/flight/src/main/java/holdmux/flight/ArrowIpc.java
+++ b/flight/src/main/java/holdmux/flight/ArrowIpc.java
@@ -188,7 +188,7 @@
 
     /**
      * Decodes a whole table batch by batch. Dictionary-encoded columns are read as their indices. Arrow's stream reader
-     * is not used because it leaks memory on malformed input; here every body is released, whatever happens.
+     * is not used because it leaks memory on malformed input; here every body is released in all cases.
      *
      * @throws IOException if the messages are not a valid table
      */
--- a/flight/src/main/java/holdmux/flight/CallCancellation.java
+++ b/flight/src/main/java/holdmux/flight/CallCancellation.java
@@ -3,7 +3,7 @@
 import holdmux.core.Balancer;
 import holdmux.core.Request;
 
-/** Tracks whether the client has cancelled a call, and tells the balancer so that the call's request can be abandoned. */
+/** Tracks whether the client has cancelled a call, and notifies the balancer so that the call's request can be abandoned. */
 final class CallCancellation {
     private final Balancer balancer;
     private Request currentRequest;
--- a/flight/src/main/java/holdmux/flight/ClientConnections.java
+++ b/flight/src/main/java/holdmux/flight/ClientConnections.java
@@ -35,7 +35,7 @@
         return count.get();
     }
 
-    /** Resets the connection from this address, discarding whatever is queued for writing. */
+    /** Resets the connection from this address, discarding any data queued for writing. */
     void abort(Object address) {
         Channel channel = byAddress.get(address);
         if (channel != null) {
--- a/flight/src/main/java/holdmux/flight/FlightLimits.java
+++ b/flight/src/main/java/holdmux/flight/FlightLimits.java
@@ -16,7 +16,7 @@
     static final int MAX_STATEMENT_BYTES = 1 << 20;
     /** Limits per connection, so that one connection cannot use up the total; interactive tools need only a few of either. */
     static final int MAX_PREPARED_PER_CONNECTION = 64, MAX_CALLS_PER_CONNECTION = 256;
-    /** Tools fetch right after planning; the lifetime also allows for a person stepping through a debugger. */
+    /** Tools fetch right after planning; the lifetime also allows for stepping through a debugger. */
     static final long TICKET_LIFETIME_NS = 30_000_000_000L;
     /** A client that reads nothing for this long is disconnected, as on the PostgreSQL front; a silent server fails the stream. */
     static final long STALL_TIMEOUT_MS = 5_000;
--- a/flight/src/main/java/holdmux/flight/RawMethods.java
+++ b/flight/src/main/java/holdmux/flight/RawMethods.java
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Tells gRPC its length in advance and writes itself in a single call. */
+    /** Reports its length to gRPC in advance and writes itself in a single call. */
     private static final class ByteArrayMessage extends ByteArrayInputStream implements KnownLength, Drainable {
         ByteArrayMessage(byte[] bytes) {
             super(bytes);
--- a/flight/src/main/java/holdmux/flight/Statuses.java
+++ b/flight/src/main/java/holdmux/flight/Statuses.java
@@ -11,7 +11,7 @@
 import io.grpc.protobuf.StatusProto;
 
 /**
- * Builds the gRPC statuses of failed requests. Clients can tell them apart without parsing the message: with a
+ * Builds the gRPC statuses of failed requests. Clients can distinguish them without parsing the message: with a
  * {@link RetryInfo} nothing ran and a retry after its delay is safe; with UNKNOWN the request may have run; any other
  * status reports a client error. {@link ErrorInfo} gives the reason.
  */
--- a/flight/src/test/java/holdmux/flight/FlightFrontTest.java
+++ b/flight/src/test/java/holdmux/flight/FlightFrontTest.java
@@ -182,7 +182,7 @@
                 List<Callable<String>> tasks = new ArrayList<>();
                 for (int i = 0; i < writes / 2; i++) {
                     String id = "w" + i;
-                    int draw = random.nextInt(12); // one write in four gets no answer; with more, no server would be left to ask
+                    int draw = random.nextInt(12); // one write in four gets no answer; with more, no server would be left to try
                     if (draw < 3) {
                         fixture.standIns.group().planFaults(id, Fault.of(Kind.SILENT, Phase.values()[draw]));
                     }
@@ -206,7 +206,7 @@
         }
     }
 
-    /** A client that stops reading must not hold a thread and memory for ever: its connection is closed, others continue. */
+    /** A client that stops reading must not hold a thread and memory forever: its connection is closed, others continue. */
     @Test
     void clientThatStopsReadingIsDisconnected() throws Exception {
         try (FlightFixture fixture = new FlightFixture(StandIns.FLIGHT_KIND); FlightSqlClient slow = fixture.connect()) {
--- a/flight/src/test/java/holdmux/flight/ParityTest.java
+++ b/flight/src/test/java/holdmux/flight/ParityTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Plays the same scenarios over both fronts and both kinds of server. Answers, counters and how often each request ran
+ * Runs the same scenarios over both fronts and both kinds of server. Answers, counters and how often each request ran
  * must be the same for all four pairs. Guards against one protocol bypassing rules that the other enforces.
  */
 class ParityTest {
@@ -30,7 +30,7 @@
     /** Requests that are sent one after another. */
     private record Scenario(String name, List<Step> steps) {}
 
-    /** What playing a scenario over one pair of protocols resulted in. */
+    /** The result of running a scenario over one pair of protocols. */
     private record Result(List<String> answers, Map<String, Long> counters, Map<String, Integer> runs) {}
 
     private static final List<String> PROTOCOL_PAIRS = List.of("PostgreSQL to PostgreSQL", "Flight SQL to PostgreSQL",
--- a/pooler/src/main/java/holdmux/Drain.java
+++ b/pooler/src/main/java/holdmux/Drain.java
@@ -5,9 +5,9 @@
 
 /**
  * The shutdown sequence after SIGTERM. The process keeps accepting clients for a while and serves its open connections for
- * as long as it may live, since their clients would not reach another pooler sooner. Every request gets its final answer
+ * as long as it may run, since their clients would not reach another pooler sooner. Every request gets its final answer
  * some time before SIGKILL may come. The process does not exit while a client connection is open: an exit would lose
- * requests that were accepted but not answered, a loss that only SIGKILL excuses.
+ * requests that were accepted but not answered, which is acceptable only under SIGKILL.
  */
 final class Drain {
     /** Clients may still be directed to this process for up to 0.4 s after SIGTERM; the rest is margin for a busy core. */
--- a/pooler/src/main/java/holdmux/Serve.java
+++ b/pooler/src/main/java/holdmux/Serve.java
@@ -37,7 +37,7 @@
 
     private Serve() {}
 
-    /** Serves until the process is told to end. Returns the exit status, which is 1 for an invalid configuration. */
+    /** Serves until shutdown is requested. Returns the exit status, which is 1 for an invalid configuration. */
     public static int run(List<Extension> extensions) throws IOException {
         try {
             serve(extensions);
@@ -123,7 +123,7 @@
     static void listen(Front front, AtomicBoolean terminating) throws IOException, InterruptedException {
         if (terminating.get()) {
             Log.info("told to end before it listened");
-            Thread.currentThread().join(); // blocks for ever: the drain ends the process
+            Thread.currentThread().join(); // blocks forever: the drain ends the process
         }
         front.listen();
     }
--- a/pooler/src/main/java/holdmux/ServerListApplier.java
+++ b/pooler/src/main/java/holdmux/ServerListApplier.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Puts server lists from discovery in force. Where lists are pushed, a process is held to everything the agent knows from
- * its first moment, so the configured list is not used before discovery has confirmed it, and requests are refused until
- * then. Where discovery answers only when asked, the configured list is used until the first answer arrives.
+ * Puts server lists from discovery in force. Where lists are pushed, a process must comply from its start with everything
+ * the agent knows, so the configured list is not used before discovery has confirmed it, and requests are refused until
+ * then. Where discovery answers only on request, the configured list is used until the first answer arrives.
  */
 final class ServerListApplier implements ListListener {
     /**
--- a/pooler/src/main/java/holdmux/config/Caps.java
+++ b/pooler/src/main/java/holdmux/config/Caps.java
@@ -13,11 +13,11 @@
     /** Shares of the file descriptors; the rest is left to discovery, the log and the JVM. */
     private static final int CLIENT_PERCENT = 50, SERVER_PERCENT = 35;
     /**
-     * The memory of the JVM under the flags in deploy/balancer.toml: 64 MiB of heap, and a measured 25 MiB of metaspace, code cache
+     * The memory of the JVM under the flags in deploy/balancer.toml: 64 MiB of heap, and about 25 MiB of metaspace, code cache
      * and internal structures.
      */
     private static final int JVM_MB = 89;
-    /** Measured for a client with a request in progress: the stacks of two threads and their sockets. */
+    /** Memory of a client with a request in progress: the stacks of two threads and their sockets. */
     private static final int KB_PER_CLIENT = 128;
     /** Accepted even if memory is short, since the heap is seldom full. */
     private static final int MIN_CLIENTS = 32;
@@ -27,7 +27,7 @@
      */
     private static final int MIN_PROBE_THREADS = 40, KB_PER_PROBE_THREAD = 64;
     /**
-     * Shares of the memory limit for long messages. At 144 MB, the smallest limit so far of a deployment with long values, queries
+     * Shares of the memory limit for long messages. At 144 MB, the smallest limit of a deployment with long values, queries
      * have 18 MB, enough for two of the longest and some shorter ones, and answers, which are streamed, have 8 MB. Larger limits
      * add nothing, since the heap of 64 MB has no room for more.
      */
--- a/pooler/src/main/java/holdmux/config/SettingsReader.java
+++ b/pooler/src/main/java/holdmux/config/SettingsReader.java
@@ -22,7 +22,7 @@
  */
 public final class SettingsReader {
     /**
-     * Keys that are specific to each pooler or fixed for the life of its process: its index and zone, and the names from which
+     * Keys that are specific to each pooler or fixed for the lifetime of its process: its index and zone, and the names from which
      * tables are built at start-up. A policy for the whole fleet does not override these.
      */
     public static final List<String> LOCAL_KEYS = List.of("me", "zone", "zones", "skus", "report");
--- a/pooler/src/main/java/holdmux/core/Admission.java
+++ b/pooler/src/main/java/holdmux/core/Admission.java
@@ -20,7 +20,7 @@
     /**
      * Why new requests are refused.
      *
-     * @param reason the reason in words
+     * @param reason the reason as readable text
      * @param counter the counter for requests refused for this reason
      * @param retryAfterNs when the client should retry, in nanoseconds; 0 for no hint
      */
@@ -64,7 +64,7 @@
         return reason == null ? null : new Refusal(reason, Counter.POLICY_CLOSED, 0);
     }
 
-    /** Returns in words why the fleet-wide policy makes this pooler refuse new requests, or null if it does not. */
+    /** Returns the reason why the fleet-wide policy makes this pooler refuse new requests, or null if it does not. */
     public String policyRefusalReason() {
         Supplier<String> gate = admissionGate;
         return gate == null ? null : gate.get();
--- a/pooler/src/main/java/holdmux/core/Attempt.java
+++ b/pooler/src/main/java/holdmux/core/Attempt.java
@@ -29,7 +29,7 @@
     /** Whether the outcome proves that the request never ran. */
     private boolean neverRan;
 
-    /** Creates the {@code number}-th attempt of its request; {@code guard} is asked by {@link #mayWrite}. */
+    /** Creates the {@code number}-th attempt of its request; {@code guard} is consulted by {@link #mayWrite}. */
     public Attempt(long serverId, int number, long startedAt, long timeoutNs, SendGuard guard) {
         this.serverId = serverId;
         this.number = number;
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Returns whether the request may still be written; to be asked right before the write. While a connection was being
+     * Returns whether the request may still be written; to be called right before the write. While a connection was being
      * established, a replica's data may have become older than a bound allows, and a server may have lost its role or
      * begun to drain. If false, the request was never sent.
      */
--- a/pooler/src/main/java/holdmux/core/Balancer.java
+++ b/pooler/src/main/java/holdmux/core/Balancer.java
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Sets the listener that is told of each write before its client sees the answer. */
+    /** Sets the listener that is notified of each write before its client sees the answer. */
     public void setWriteListener(WriteListener listener) {
         writeListener = listener;
     }
@@ -191,7 +191,7 @@
 
     /**
      * Runs one request from its arrival to its only final answer. The attempts that the decision module asks for run one
-     * at a time, never two at once, and the module is told of each outcome before the client sees an answer.
+     * at a time, never two at once, and the module is notified of each outcome before the client sees an answer.
      */
     public void execute(Request request, Statement statement, Responder responder) {
         boolean answerStarted = false;
@@ -310,7 +310,7 @@
         }
     }
 
-    /** Tells the listener of a write; one whose answer was lost may have taken effect at any time up to now. */
+    /** Notifies the listener of a write; one whose answer was lost may have taken effect at any time up to now. */
     private void reportWrite(Request.Spec spec, Reply reply) {
         if (spec.consistency() == Consistency.WRITE && !reply.outcome().neverRan) {
             boolean positionKnown = reply.outcome() == Outcome.OK && reply.positionNs() > 0;
--- a/pooler/src/main/java/holdmux/core/Deadlines.java
+++ b/pooler/src/main/java/holdmux/core/Deadlines.java
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Runs a task; whatever it throws, an Error included, is logged so that the tasks after it still run. */
+    /** Runs a task; anything it throws, an Error included, is logged so that the tasks after it still run. */
     static void runOne(Runnable task) {
         try {
             task.run();
--- a/pooler/src/main/java/holdmux/core/Log.java
+++ b/pooler/src/main/java/holdmux/core/Log.java
@@ -41,7 +41,7 @@
             StackTraceElement[] trace = cause.getStackTrace();
             enqueue("error " + message + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
         } catch (OutOfMemoryError e) {
-            DROPPED.incrementAndGet(); // the line is lost, but the caller must go on
+            DROPPED.incrementAndGet(); // the line is lost, but the caller must continue
         }
     }
 
@@ -76,7 +76,7 @@
                 System.err.println(QUEUE.take());
                 UNWRITTEN.decrementAndGet();
             } catch (InterruptedException | RuntimeException | Error e) {
-                DROPPED.incrementAndGet(); // the line is lost; the thread must go on
+                DROPPED.incrementAndGet(); // the line is lost; the thread must continue
             }
         }
     }
--- a/pooler/src/main/java/holdmux/core/PolicyControl.java
+++ b/pooler/src/main/java/holdmux/core/PolicyControl.java
@@ -21,7 +21,7 @@
     void applyPolicy(Deployment deployment, InetSocketAddress discovery, Set<String> excluded, boolean evacuated);
 
     /**
-     * Sets the check made before each new request: {@code refusalReason} returns null, or in words why this pooler refuses
+     * Sets the check made before each new request: {@code refusalReason} returns null, or the reason why this pooler refuses
      * new requests. Many threads call it, for every request: it must not block.
      */
     void setAdmissionGate(Supplier<String> refusalReason);
--- a/pooler/src/main/java/holdmux/core/SendGate.java
+++ b/pooler/src/main/java/holdmux/core/SendGate.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 
 /**
- * The only place that permits writing a request, a retry or a probe to a server; it is asked right before the write. It
+ * The only place that permits writing a request, a retry or a probe to a server; it is consulted right before the write. It
  * takes the decision module's answer and checks it against its own record of server availability, clients that have left and
  * attempts that may have run. A write that breaks a rule all the same is counted ({@code violations_*}) and logged with its ids.
  *
--- a/pooler/src/main/java/holdmux/core/SendGuard.java
+++ b/pooler/src/main/java/holdmux/core/SendGuard.java
@@ -1,6 +1,6 @@
 package holdmux.core;
 
-/** Asked by an attempt right before its bytes are written, and notified once they have been. */
+/** Consulted by an attempt right before its bytes are written, and notified once they have been. */
 @FunctionalInterface
 public interface SendGuard {
     /** Whether the bytes may be written now; conditions may have changed since the attempt was started. */
--- a/pooler/src/main/java/holdmux/core/ServerRegistry.java
+++ b/pooler/src/main/java/holdmux/core/ServerRegistry.java
@@ -20,7 +20,7 @@
 /** The known servers, with the number that the decision module knows each by and its current address, and the known groups. */
 public final class ServerRegistry {
     private static final long MS = Clock.MS;
-    /** Drains and removals remembered; more than the number of servers in a large deployment. */
+    /** Drains and removals kept on record; more than the number of servers in a large deployment. */
     private static final int MAX_WITHDRAWALS = 8_192;
 
     /** A drain or removal of a server: the version of the list that reported it, and when the server had last started. */
@@ -86,7 +86,7 @@
 
     /**
      * Replaces the set of excluded servers and returns the resulting event for the decision module. An excluded server
-     * drains, whatever the list says; a server that is readmitted may have been restarted meanwhile and counts as cold.
+     * drains, regardless of the list; a server that is readmitted may have been restarted meanwhile and counts as cold.
      */
     synchronized ListChanged setExcluded(Map<String, Long> servers, long nowMs) {
         Map<String, Long> previous = excluded;
--- a/pooler/src/main/java/holdmux/core/WriteListener.java
+++ b/pooler/src/main/java/holdmux/core/WriteListener.java
@@ -2,8 +2,8 @@
 
 import holdmux.decision.SplitterApi.LastWrite;
 
-/** Told of every write before its client sees the answer. */
+/** Notified of every write before its client sees the answer. */
 public interface WriteListener {
-    /** Called for each write; returns once all that must know of it have been told. */
+    /** Called for each write; returns once all that must know of it have been notified. */
     void onWrite(LastWrite write);
 }
--- a/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
+++ b/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
@@ -65,7 +65,7 @@
     private static final int MAX_SESSIONS = 20_000;
     /** A request that no store has received is pending for at most this share of its time, enough for a probe to
      * answer; longer waits only take up client connections. A request whose late worth is above the second value
-     * stays pending until its time is over, since being served late still pays. */
+     * stays pending until its time is over, since a late answer still has value. */
     private static final double MAX_PENDING_SHARE = 0.1, MIN_LATE_WORTH = 0.3;
     /** What an answer says counts as known 100 ms after the store wrote it, whether or not this pooler has read it;
      * 25 ms are deducted for the time that the send takes. */
@@ -98,7 +98,7 @@
         final LinkedHashMap<Long, Session> sessions = new LinkedHashMap<>(16, 0.75f, true);
         /** The latest token that was dropped here; no replica behind it serves session reads. */
         long floor;
-        /** The store believed to be the primary, and when that was last confirmed. */
+        /** The store considered to be the primary, and when that was last confirmed. */
         Store leader;
         long leaderConfirmedAt;
     }
@@ -371,8 +371,8 @@
 
     /**
      * Whether the read waits for a probe of a replica that seems recent enough but is not known to be; starts the
-     * probe if there is none. Each pooler rarely hears from each of many replicas, and primaries have no capacity
-     * for all reads. Costs a probe.
+     * probe if there is none. A pooler rarely gets answers from each of many replicas, and primaries have no
+     * capacity for all reads. Costs a probe.
      */
     private boolean awaitsPositionProbe(OpenRequest request, long required) {
         if (storesCheckPosition || request.positionProbes >= MAX_POSITION_PROBES) {
@@ -561,7 +561,7 @@
         return waitsToDeadline ? remainingNs : Math.min(remainingNs, (long) timeoutNs);
     }
 
-    /** The only place that gives final answers: a refusal if trying again is harmless, else an error. */
+    /** The only place that gives final answers: a refusal if a retry is safe, else an error. */
     private void finish(OpenRequest request, EndReason reason) {
         if (request.done) {
             return;
@@ -893,7 +893,7 @@
         if (!store.isReady() || !store.verified || !hasColdBudget(store, request.latency.baseNs)) {
             return false;
         }
-        // a store that cannot be reached is of no use even in panic
+        // a store that cannot be reached is not usable even in panic
         if (store.unhealthy && (store.unreachable || !inPanic(request.group))) {
             return store.inFlight == 0 && store.nextTrialAt <= now
                     && (store.probeOkAt >= store.unhealthySince || !settings.limits().probes());
@@ -952,7 +952,7 @@
 
     // ---- Probes, timers and the list ----
 
-    /** Detects hung, vanished or partitioned stores: requests in flight, no answer. May misjudge a lone long read. */
+    /** Detects hung, crashed or partitioned stores: requests in flight, no answer. A single long read may look the same. */
     private void detectSilence(Store store) {
         if (store.inFlight > 0 && !store.silent && store.unansweredSince > 0) {
             double gap = store.inFlightWork / store.inFlight * Math.max(1, store.latencyRatio)
@@ -1100,7 +1100,7 @@
         }
     }
 
-    /** The list has removed a store; where that is only advice, it stays in use but is no member while unhealthy. */
+    /** The list has removed a store; where that is only advisory, it stays in use but is no member while unhealthy. */
     private void markRemoved(Store store) {
         store.removedFromList = true;
         if (settings.rules().goneIsAdvice()) {
--- a/pooler/src/main/java/holdmux/discovery/CallSchedule.java
+++ b/pooler/src/main/java/holdmux/discovery/CallSchedule.java
@@ -20,7 +20,7 @@
         int initialBackoffMs, int maxBackoffMs) {
     /**
      * For lists that are pushed to an agent on this machine, which answers immediately. A change counts as delivered as soon as
-     * the agent has it and must be obeyed 2 s later, even if the agent was silent before. Two calls may therefore go unanswered
+     * the agent has it and must be in effect 2 s later, even if the agent was silent before. Two calls may therefore go unanswered
      * and be replaced within 2 s: a silent watch is overdue after 0.8 s and each call after it in 0.5 s, with a backoff of at most
      * 0.15 s and then 0.3 s between them.
      */
--- a/pooler/src/main/java/holdmux/discovery/ListTrust.java
+++ b/pooler/src/main/java/holdmux/discovery/ListTrust.java
@@ -9,7 +9,7 @@
  */
 final class ListTrust {
     /**
-     * How long the list stays trusted after an unreadable answer. The changes in that answer must be obeyed 2 s after it was
+     * How long the list stays trusted after an unreadable answer. The changes in that answer must be in effect 2 s after it was
      * written; the rest is a margin for sends that are delayed.
      */
     private static final long TRUST_PERIOD_NS = 1_200 * Clock.MS;
--- a/pooler/src/main/java/holdmux/discovery/Watch.java
+++ b/pooler/src/main/java/holdmux/discovery/Watch.java
@@ -16,11 +16,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Follows the server list of discovery for the life of the process. It first requests the whole list or, if the list has to be
+ * Follows the server list of discovery for the lifetime of the process. It first requests the whole list or, if the list has to be
  * subscribed to, the changes since the cached one, and then further changes. One call at a time is the current one, from which the
- * next answer is expected. If it is overdue, another one is made beside it and both are read, so that a slow agent is heard as well
- * as one that lost a call and has come back. Because many poolers share discovery, failed calls are retried with randomised
- * exponential backoff.
+ * next answer is expected. If it is overdue, another one is made beside it and both are read, so that answers arrive from a slow
+ * agent as well as from one that lost a call and has recovered. Because many poolers share discovery, failed calls are retried
+ * with randomised exponential backoff.
  */
 public final class Watch implements Runnable, DiscoveryCall.Listener {
     /** The most connections that are read at the same time. */
@@ -122,7 +122,7 @@
 
     /**
      * Follows the list at another address from now on. Calls to the old agent are read until the new one has answered, since
-     * they may still bring changes.
+     * they may still deliver changes.
      */
     public synchronized void moveTo(InetSocketAddress newAgent) {
         if (!newAgent.equals(agent)) {
--- a/pooler/src/main/java/holdmux/management/ManagementServer.java
+++ b/pooler/src/main/java/holdmux/management/ManagementServer.java
@@ -51,7 +51,7 @@
         this.counters = counters;
     }
 
-    /** Listens for the life of the process. The address may still be in use by an older process, so binding is retried. */
+    /** Listens for the lifetime of the process. The address may still be in use by an older process, so binding is retried. */
     @Override
     public void run() {
         boolean warned = false;
--- a/pooler/src/main/java/holdmux/pg/ClientRegistry.java
+++ b/pooler/src/main/java/holdmux/pg/ClientRegistry.java
@@ -20,7 +20,7 @@
 final class ClientRegistry {
     /** An idle connection may be closed after 2 s; the extra 50 ms allow for the client's clock. */
     private static final long MIN_IDLE_NS = 2_050 * Clock.MS;
-    /** Idle times when crowded, that is above {@link #CROWDED_PERCENT}. A connection with one request so far is closed after
+    /** Idle times above {@link #CROWDED_PERCENT} of the cap. A connection with one request so far is closed after
      * several round trips; one that was used again is kept longer, since a reconnect costs more than closing it frees. */
     private static final long CROWDED_MIN_IDLE_NS = 100 * Clock.MS, CROWDED_RETURNING_MIN_IDLE_NS = 500 * Clock.MS;
     /** Interval between sweeps for idle connections. */
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Forgets a closed session. */
+    /** Removes a closed session. */
     synchronized void remove(ClientSession session) {
         open.remove(session);
         withoutRequest.remove(session);
--- a/pooler/src/main/java/holdmux/pg/ClientSession.java
+++ b/pooler/src/main/java/holdmux/pg/ClientSession.java
@@ -63,7 +63,8 @@
     /** Time-out for the head of a message and for a pause within one. Clients may pause for up to 2 s, and a stalled message
      * has to be ended within 3 s. */
     private static final int MAX_PAUSE_MS = 2_600;
-    /** Total time-out of a message, plus its length at the minimum rate; a client that trickles bytes would hold buffers forever. */
+    /** Total time-out of a message, plus its length at the minimum rate; without it, a client that sends slowly would hold buffers
+     * indefinitely. */
     private static final int MESSAGE_TIMEOUT_MS = 10_000, MIN_BYTES_PER_MS = 16;
     /** Limits on the commands and bytes queued on one connection behind the command being answered. Pipelining drivers send a
      * few commands; the limits of all clients add up to a few MiB. Commands above the limits are refused in order, up to
--- a/pooler/src/main/java/holdmux/pg/Listener.java
+++ b/pooler/src/main/java/holdmux/pg/Listener.java
@@ -55,7 +55,7 @@
         try {
             serverSocket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } catch (IOException | UnsupportedOperationException e) {
-            // the JVM probes for the option once; a system call that fails then disables it for the life of the process
+            // the JVM probes for the option once; a system call that fails then disables it for the lifetime of the process
             Log.warn("no other process can listen beside this one, so that it cannot be upgraded in place: " + e.getMessage());
         }
     }
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Tells the clients' sessions when the process will shut down. */
+    /** Informs the clients' sessions when the process will shut down. */
     void announceShutdown(long delayNs) {
         context.clients().announceShutdown(delayNs);
     }
--- a/pooler/src/main/java/holdmux/statement/BufferPool.java
+++ b/pooler/src/main/java/holdmux/statement/BufferPool.java
@@ -16,7 +16,7 @@
     private static final int MIN_BUFFERS = 8, MAX_MESSAGE_PERCENT = 75;
     /** Waiting longer than this for a buffer helps no answer: the tightest on-time target of a class is about 300 ms. */
     private static final long ACQUIRE_TIMEOUT_MS = 100;
-    /** Free buffers kept for reuse; further ones are dropped, so that a burst of long values does not occupy memory for good. */
+    /** Free buffers kept for reuse; further ones are dropped, so that a burst of long values does not occupy memory permanently. */
     private static final int MAX_FREE = 32;
     /** How often a waiting reader checks whether its client is still connected. */
     private static final long CLIENT_CHECK_INTERVAL_MS = 50;
--- a/pooler/src/main/java/holdmux/upgrade/Upgrade.java
+++ b/pooler/src/main/java/holdmux/upgrade/Upgrade.java
@@ -47,7 +47,7 @@
     private static final long ACK_TIMEOUT_MS = 500;
     /** How long a newer process waits for the older one's writes; it has to serve within 6 s. */
     private static final long SYNC_TIMEOUT_MS = 3_000;
-    /** A process that reads nothing for this long is considered hung: the link is closed, so that sending blocks nobody. */
+    /** A process that reads nothing for this long is considered hung: the link is closed, so that sends do not block. */
     private static final long SEND_TIMEOUT_NS = 2_000 * Clock.MS;
     /** How often usage is reported; in between, the spare descriptors within the limits absorb the difference. */
     private static final long USAGE_INTERVAL_MS = 20;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Tells the other process that this one serves clients from now on. */
+    /** Notifies the other process that this one serves clients from now on. */
     public void announceServing() {
         send(new Frame(Kind.SERVING, 0, 0, 0));
     }
@@ -133,7 +133,7 @@
         sendAndAwaitAck(new Frame(Kind.ORDERS_CHANGED, 0, 0, 0));
     }
 
-    /** Talks to the older process until it is gone, then accepts one newer process after another. */
+    /** Communicates with the older process until it is gone, then accepts one newer process after another. */
     private void exchangeWithPeers(Link older) {
         if (older != null) {
             receiveUntilClosed(older);
--- a/pooler/src/test/java/holdmux/DrainTest.java
+++ b/pooler/src/test/java/holdmux/DrainTest.java
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A client that reads its answer slowly keeps the process alive, since only SIGKILL excuses losing it, but not for ever. */
+    /** A client that reads its answer slowly keeps the process alive, since only SIGKILL may lose the answer, but not forever. */
     @Test
     void drainWaitsForOpenClientsWithinALimit() throws InterruptedException {
         assertTrue(drainUntil(3_000, 4_500, false) >= 4_500);
--- a/pooler/src/test/java/holdmux/ReloaderTest.java
+++ b/pooler/src/test/java/holdmux/ReloaderTest.java
@@ -29,8 +29,8 @@
 @Timeout(20)
 class ReloaderTest {
     /**
-     * The signal is not sent twice: a file that could not be read for a moment used to be given up, and with it the new
-     * discovery address.
+     * The signal is not sent twice: a file that could not be read for a moment used to be skipped without a retry, and
+     * with it the new discovery address.
      */
     @Test
     void retriesAfterReadFailures(@TempDir Path directory) throws Exception {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** A file that was half written at the signal used to be refused for good, so that the old agent was asked for ever. */
+    /** A file that was half written at the signal used to be rejected permanently, and the old agent stayed in use. */
     @Test
     void retriesAHalfWrittenFile(@TempDir Path directory) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
--- a/pooler/src/test/java/holdmux/ServeTest.java
+++ b/pooler/src/test/java/holdmux/ServeTest.java
@@ -93,7 +93,7 @@
         }
     }
 
-    /** A log that nobody reads used to block every thread that wrote to it, the discovery watch among them. */
+    /** A log output that is not read used to block every thread that wrote to it, the discovery watch among them. */
     @Test
     @Timeout(40)
     void unreadLogBlocksNoThread(@TempDir Path directory) throws Exception {
--- a/pooler/src/test/java/holdmux/core/BalancerTest.java
+++ b/pooler/src/test/java/holdmux/core/BalancerTest.java
@@ -285,7 +285,7 @@
                 limits, s.positionField(), s.primaryField(), s.queueField(), s.inflightField(), s.utilField());
     }
 
-    /** The write listener must be told before the client is answered. */
+    /** The write listener must be notified before the client is answered. */
     @Test
     void listenerIsToldOfWriteBeforeClientIsAnswered() {
         List<String> order = new ArrayList<>();
--- a/pooler/src/test/java/holdmux/core/SendGateTest.java
+++ b/pooler/src/test/java/holdmux/core/SendGateTest.java
@@ -38,7 +38,7 @@
         return gate.permits(request, attempt, modulePermission, false, now);
     }
 
-    /** Whatever the decision module says, nothing is sent to a server that drains, was removed or is missing from a whole list. */
+    /** Whatever the decision module answers, nothing is sent to a server that drains, was removed or is missing from a whole list. */
     @Test
     void nothingIsSentToUnavailableServers() {
         gate.updateAvailability(list(ListMode.FULL, Availability.READY), 1);
--- a/pooler/src/test/java/holdmux/decision/FailureHandlingTest.java
+++ b/pooler/src/test/java/holdmux/decision/FailureHandlingTest.java
@@ -67,7 +67,7 @@
                 .map(a -> ((Decline) a).id()).toList(), "the write has enough late worth to stay pending");
     }
 
-    /** A first answer slower than the class's latency target must not make every later request look hopeless. */
+    /** A first answer slower than the class's latency target must not make every later request look unservable. */
     @Test
     void slowFirstAnswerDoesNotBlockItsClass() {
         SplitterFixture f = fixture();
@@ -255,7 +255,7 @@
         assertTrue(toTwo < 10, toTwo + " of 59 went to the failing store");
     }
 
-    /** If most stores look silent, the load is to blame: retracting work and sending it again would add to it. */
+    /** If most stores look silent, the load is the cause: retracting work and sending it again would add to it. */
     @Test
     void noWorkIsRetractedInPanic() {
         SplitterFixture f = fixture();
--- a/pooler/src/test/java/holdmux/discovery/WatchTest.java
+++ b/pooler/src/test/java/holdmux/discovery/WatchTest.java
@@ -28,9 +28,9 @@
     private static final String HOST = "{\"host\":\"s-1\",\"dial\":\"127.0.0.1:5501\",\"site\":\"a\",\"class\":\"m\","
             + "\"block\":0,\"health\":\"up\",\"share\":1,\"born_ms\":0}";
 
-    /** A change counts as delivered this long after discovery had it, even if earlier calls failed to bring it. */
+    /** A change counts as delivered this long after discovery had it, even if earlier calls failed to deliver it. */
     private static final long DELIVERY_MS = 6_000;
-    /** How long after its delivery a change must be obeyed, and how long a process may be delayed between its decision and its write. */
+    /** How long after its delivery a change must be in effect, and the longest delay of a process between its decision and its write. */
     private static final long GRACE_MS = 2_000, SEND_DELAY_MS = 150;
     private static final long CONNECT_MS = 300;
     private static final CallSchedule SUBSCRIBED = CallSchedule.SUBSCRIBED, PUSHED = CallSchedule.PUSHED;
@@ -133,7 +133,7 @@
         return schedule.timeoutMs(startsWatch, 0) + schedule.timeoutMs(true, 1) + maxBackoffMs;
     }
 
-    /** If lists are pushed, a change must be obeyed 2 s after the agent has it, even if two calls in a row were silent. */
+    /** If lists are pushed, a change must be in effect 2 s after the agent has it, even if two calls in a row were silent. */
     @Test
     void pushedChangeArrivesWithinTheGracePeriodAfterTwoFailedCalls() {
         for (boolean startsWatch : new boolean[] {true, false}) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Each byte of an answer used to restart the time-out of its call, so that a trickling answer was never given up. */
+    /** Each byte of an answer used to restart the time-out of its call, so that a very slow answer never timed out. */
     @Test
     void slowlyTricklingAnswerTimesOut() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /** The connection of an overdue call used to be closed, so that a slow discovery was never heard. */
+    /** The connection of an overdue call used to be closed, so that answers of a slow discovery were lost. */
     @Test
     void usesTheLateAnswerOfAnOverdueCall() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
@@ -208,7 +208,7 @@
         }
     }
 
-    /** The oldest call stays open while newer ones are replaced, so that even a very slow discovery is heard. */
+    /** The oldest call stays open while newer ones are replaced, so that even a very slow answer is received. */
     @Test
     void keepsTheOldestCall() throws Exception {
         try (ServerSocket agent = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
--- a/pooler/src/test/java/holdmux/pg/PoolerTest.java
+++ b/pooler/src/test/java/holdmux/pg/PoolerTest.java
@@ -614,7 +614,7 @@
         }
     }
 
-    /** When crowded, clients with one request are closed first; closing returning clients cost a new connection per request. */
+    /** Near the cap, clients with one request are closed first; closing returning clients cost a new connection per request. */
     @Test
     void returningClientsAreKeptLongerWhenCrowded() throws Exception {
         List<Socket> kept = new ArrayList<>();
@@ -686,8 +686,8 @@
     }
 
     /**
-     * Once a client has gone, no further attempt begins for its query, whatever it has sent behind that. Guards against a reader
-     * that stops when its queue is full, misses the end of input and lets the query be retried for nobody.
+     * Once a client has gone, no further attempt begins for its query, whatever it has sent after it. Guards against a reader
+     * that stops when its queue is full, misses the end of input and lets the query be retried for a client that is gone.
      */
     @ParameterizedTest
     @EnumSource
--- a/standins/src/main/java/holdmux/standins/Fault.java
+++ b/standins/src/main/java/holdmux/standins/Fault.java
@@ -8,7 +8,7 @@
  *     (Flight) or sixteenths of the answer's bytes (PostgreSQL)
  */
 public record Fault(Kind kind, Phase phase, int progress) {
-    /** What goes wrong. */
+    /** The effect of the fault. */
     public enum Kind {
         /** The server sends nothing more; the connection stays open. */
         SILENT,
--- a/standins/src/main/java/holdmux/standins/QuoteGroup.java
+++ b/standins/src/main/java/holdmux/standins/QuoteGroup.java
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Records that a request arrived completely at a server, whatever happens to it afterwards. */
+    /** Records that a request arrived completely at a server, regardless of its outcome. */
     synchronized void recordArrival(Member member, String sql) {
         Matcher id = ID_PATTERN.matcher(sql);
         Matcher wait = DEADLINE_PATTERN.matcher(sql);
--- a/store/src/main/java/holdmux/store/PolicyView.java
+++ b/store/src/main/java/holdmux/store/PolicyView.java
@@ -11,7 +11,7 @@
  * <p>The store reports only committed activations, so a pooler never acts on an uncommitted one. A pooler in contact with
  * the store switches {@code delayNs} after it learns of an activation; one that starts, or reconnects after more than the
  * staleness bound, switches immediately, since it did not serve in the meantime. If several activations are pending, the
- * newest that is due is put in force: a pooler serves the version that was newest at the store when it was heard of,
+ * newest that is due is put in force: a pooler serves the version that was newest at the store when it was received,
  * {@code delayNs} earlier. Not thread-safe: the owner guards it with one lock and swaps the settings that a decision uses
  * as one immutable snapshot.
  */
--- a/store/src/main/java/holdmux/store/Quorum.java
+++ b/store/src/main/java/holdmux/store/Quorum.java
@@ -10,7 +10,7 @@
  * activation committed before time T is in the logs of a majority by then. A member that is in that majority and had applied
  * its whole log when asked at or after T reports it, and any two majorities share a member. So once a majority has answered
  * requests sent at or after T, every activation committed before T is known here, regardless of leadership, clocks, pauses
- * and partitions. The leader alone is not trusted, because one that was paused may still believe that it leads. Reads no
+ * and partitions. The leader's answer alone does not suffice, as a paused leader may not know that it was replaced. Reads no
  * clock; times are passed in. Not thread-safe.
  */
 public final class Quorum {
--- a/store/src/main/java/holdmux/store/raft/StoreMember.java
+++ b/store/src/main/java/holdmux/store/raft/StoreMember.java
@@ -49,7 +49,7 @@
     /**
      * Starts the member on its directory, which is created if missing.
      *
-     * @param bootstrap whether an empty directory makes this a founding member of a new store. Otherwise a member with an
+     * @param bootstrap whether an empty directory makes this an initial member of a new store. Otherwise a member with an
      *                  empty directory cannot vote until the others add it, so that one that lost its disk cannot
      *                  contradict its earlier votes
      * @throws IOException if the log cannot be read or the address is in use
--- a/store/src/test/java/holdmux/store/PolicyHistoryTest.java
+++ b/store/src/test/java/holdmux/store/PolicyHistoryTest.java
@@ -61,7 +61,7 @@
         assertThrows(IllegalArgumentException.class, () -> EntryCodec.decode(new byte[EntryCodec.MAX_BYTES + 1]));
     }
 
-    /** Two operators start from the same version: the second is refused and told whose version came first. */
+    /** Two operators start from the same version: the second is refused, with the first version and its author as the reason. */
     @Test
     void secondProposalBasedOnTheSameVersionIsRefused() {
         PolicyHistory history = historyOf(2);
@@ -93,7 +93,7 @@
                 .put("excluded", List.of("s-1")).put("evacuated", List.of("p1")).toString()));
     }
 
-    /** A member that runs another program version may reject a policy; it must then not be activated for anyone. */
+    /** A member that runs another program version may reject a policy; it must then not be activated on any member. */
     @Test
     void activationNeedsAQuorumOfChecksAndNoFailedCheck() {
         PolicyHistory history = historyOf(1).apply(new Checked(1, "n1", ""));
