--- a/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
+++ b/pooler/src/main/java/holdmux/decision/ReadWriteSplitter.java
@@ -952,7 +952,10 @@
 
     // ---- Probes, timers and the list ----
 
-    /** Detects hung, crashed or partitioned stores: requests in flight, no answer. A single long read may look the same. */
+    /**
+     * Detects hung, crashed or partitioned stores: requests in flight, no answer. A single long read may look the
+     * same.
+     */
     private void detectSilence(Store store) {
         if (store.inFlight > 0 && !store.silent && store.unansweredSince > 0) {
             double gap = store.inFlightWork / store.inFlight * Math.max(1, store.latencyRatio)
